--- a/rowanrack/cli.py
+++ b/rowanrack/cli.py
@@ -91,8 +91,14 @@
 
 @main.command()
 @CONFIG
-@click.option("--log", "form", type=click.Choice(logs.FORMS), default="plain", show_default=True,
-              help="The form of the log on standard error.")
+@click.option(
+    "--log",
+    "form",
+    type=click.Choice(logs.FORMS),
+    default="plain",
+    show_default=True,
+    help="The form of the log on standard error.",
+)
 def serve(path: Path | None, form: str) -> None:
     """Run a sender until SIGTERM."""
     logs.set_up(form)
--- a/rowanrack/lab/log_rules.py
+++ b/rowanrack/lab/log_rules.py
@@ -325,5 +325,3 @@
             if begin <= due and end >= since:
                 due = max(due, end + self.heard_us)
         return due
-
-
--- a/rowanrack/model/calls.py
+++ b/rowanrack/model/calls.py
@@ -130,9 +130,7 @@
             return
         message = attempt.message
         sender.history.add(
-            Entry(
-                self.engine.now, "begin", sender.number, message.id, attempt.leg, place.name, message.dest
-            )
+            Entry(self.engine.now, "begin", sender.number, message.id, attempt.leg, place.name, message.dest)
         )
         self.crossings += place.zone != sender.zone
         life = sender.life
--- a/rowanrack/model/cli.py
+++ b/rowanrack/model/cli.py
@@ -172,8 +172,13 @@
 
 @model.command()
 @click.argument("recordings", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--out", default=Path("fitted.scenario"), show_default=True, type=click.Path(path_type=Path),
-              help="The scenario that is written, with NAME.calibration.json beside it.")
+@click.option(
+    "--out",
+    default=Path("fitted.scenario"),
+    show_default=True,
+    type=click.Path(path_type=Path),
+    help="The scenario that is written, with NAME.calibration.json beside it.",
+)
 @click.option("--runs", default=8, show_default=True, type=click.IntRange(1), help="Seeds it is judged by.")
 @SEED
 @JOBS
--- a/rowanspindle/hearsay.py
+++ b/rowanspindle/hearsay.py
@@ -210,6 +210,9 @@
                 self._believe(known, peer, 0)
         own, others = max(1, held), float(self._sum.get(dest, 0))
         if self._part < 1:
-            others = self._peers * (others + GUESSED * (guess - 1) / self._peers) / (
-                self._peers * self._part + GUESSED)
+            others = (
+                self._peers
+                * (others + GUESSED * (guess - 1) / self._peers)
+                / (self._peers * self._part + GUESSED)
+            )
         return (own + others) / own
--- a/rowanspindle/logic.py
+++ b/rowanspindle/logic.py
@@ -11,8 +11,32 @@
 
 from rowanspindle import pacing
 from rowanspindle.api import (
-    Accept, Action, Arm, Cancel, Disconnect, Effect, Event, Fail, Heard, Kind, Log, Member, Members, Outage,
-    Outcome, Recalled, Refuse, Result, Scope, Send, Settings, Status, Timer, Watch, Withdrawn)
+    Accept,
+    Action,
+    Arm,
+    Cancel,
+    Disconnect,
+    Effect,
+    Event,
+    Fail,
+    Heard,
+    Kind,
+    Log,
+    Member,
+    Members,
+    Outage,
+    Outcome,
+    Recalled,
+    Refuse,
+    Result,
+    Scope,
+    Send,
+    Settings,
+    Status,
+    Timer,
+    Watch,
+    Withdrawn,
+)
 from rowanspindle.hearsay import UNIT_US
 from rowanspindle.held import NEVER, KeyLine, Message, Place, turns
 from rowanspindle.notes import What, digest
@@ -276,7 +300,8 @@
                 self.stir(member.dest)
                 apart = self.settings.kinds.get(member.kind, Kind()).apart
                 gate = (None if apart else destination.gate) or Gate(
-                    self.settings, member.weight, self.usual_rate(), self.now, self.first_token())
+                    self.settings, member.weight, self.usual_rate(), self.now, self.first_token()
+                )
                 warm = self.many and any(e.is_warm(self.now) for e in destination.endpoints.values())
                 drawn = warm and self.rng.random() * (len(destination.endpoints) + 1) < 1
                 behind = (destination.turn > 0) / max(1, len(destination.endpoints))  # the last called
@@ -392,9 +417,12 @@
                     self.returned(endpoint, "answers again")
                 elif endpoint.doubted and endpoint.answers_in_doubt(now, call.sent_at, self.proved(endpoint)):
                     self.hearsay.back(endpoint.target)
-                    self.actions.append(Log(
-                        f"{endpoint.target}: answers while a sibling is out, slow start; "
-                        f"destination {endpoint.dest}, {self.share_text(endpoint)}"))
+                    self.actions.append(
+                        Log(
+                            f"{endpoint.target}: answers while a sibling is out, slow start; "
+                            f"destination {endpoint.dest}, {self.share_text(endpoint)}"
+                        )
+                    )
                 endpoint.succeeded(now, event.latency_us)
                 gate.window.grow(len(gate.calls))
                 endpoint.window.grow(len(endpoint.calls))
@@ -413,7 +441,8 @@
                 if endpoint.out_since is not None:
                     endpoint.proved = True
             case Result.TIMEOUT | Result.RESET if call.idle_us > LEAST_US and (
-                    evidence < 1 or endpoint.answered_at > call.sent_at):
+                evidence < 1 or endpoint.answered_at > call.sent_at
+            ):
                 # A connection dropped unseen while idle looks like this, where others are answered or own
                 # calls are too rare to tell. A new one tells more: a hang is noticed one call later.
                 self.trust.dropped(kind, call.idle_us)
@@ -457,9 +486,13 @@
             other.recover(self.now, proved, self.rng)
             self.listen(other)
             start = "slow start" if proved else "no slow start, no call had failed"
-            self.actions.append(Log(
-                f"{other.target}: {cause}, {start}; destination {other.dest}, out for "
-                f"{(self.now - since) / SECOND:.1f} s, {other.trials_sent} trials, {self.share_text(other)}"))
+            self.actions.append(
+                Log(
+                    f"{other.target}: {cause}, {start}; destination {other.dest}, out for "
+                    f"{(self.now - since) / SECOND:.1f} s, {other.trials_sent} trials, "
+                    f"{self.share_text(other)}"
+                )
+            )
         self.stir(endpoint.dest)
 
     def doubt(self, endpoint: Endpoint) -> None:
@@ -490,9 +523,12 @@
             self.doubt(endpoint)
             self.stir(endpoint.dest)
             next_s = (endpoint.next_send(self.now, None) - self.now) / SECOND
-            self.actions.append(Log(
-                f"{endpoint.target}: out, {why}; destination {endpoint.dest}, next trial in {next_s:.1f} s, "
-                f"{self.share_text(endpoint)}"))
+            self.actions.append(
+                Log(
+                    f"{endpoint.target}: out, {why}; destination {endpoint.dest}, "
+                    f"next trial in {next_s:.1f} s, {self.share_text(endpoint)}"
+                )
+            )
 
     def share_text(self, endpoint: Endpoint) -> str:
         """For the log: with how many senders a cold endpoint's budget is shared, and how that is known."""
@@ -524,9 +560,12 @@
         if outage is not None and self.now < until:
             endpoint.recall(self.now, outage, self.rng)
             self.recovering[endpoint] = None
-            self.actions.append(Log(
-                f"{endpoint.target}: {'out' if outage.back_at is None else 'cold'} as it was known before; "
-                f"destination {endpoint.dest}, {self.share_text(endpoint)}"))
+            self.actions.append(
+                Log(
+                    f"{endpoint.target}: {'out' if outage.back_at is None else 'cold'} "
+                    f"as it was known before; destination {endpoint.dest}, {self.share_text(endpoint)}"
+                )
+            )
 
     def look_for_silence(self) -> None:
         """Calls out far beyond the usual time, with no later answer, mean an outage before any time-out."""
@@ -553,8 +592,11 @@
     def hopeless(self, message: Message) -> bool:
         """The one place that decides whether a message may go again (True: never)."""
         effect, ran_at = message.cls.effect, message.ran_at
-        repeat = ran_at is None or effect is Effect.SAFE or (
-            effect is Effect.KEYED and self.now < ran_at + message.cls.key_ttl_us)
+        repeat = (
+            ran_at is None
+            or effect is Effect.SAFE
+            or (effect is Effect.KEYED and self.now < ran_at + message.cls.key_ttl_us)
+        )
         return message.legs >= self.settings.try_limit or not repeat
 
     def gate_opens(self, endpoint: Endpoint) -> int:
@@ -568,8 +610,11 @@
             slots = self.settings.slots
             if len(self.calls) > slots * SCARCE and len(self.trials) >= max(1, int(slots * TRIAL_SHARE)):
                 return max(self.now + int(TRIAL_LEAST_S * SECOND), endpoint.next_send(now, None))
-        elif full(gate.window, gate.calls, now) or full(endpoint.window, endpoint.calls, now) or (
-                endpoint.doubted and endpoint.calls):
+        elif (
+            full(gate.window, gate.calls, now)
+            or full(endpoint.window, endpoint.calls, now)
+            or (endpoint.doubted and endpoint.calls)
+        ):
             lapse = (c.sent_at + int(c.endpoint.silence_us()) + 1 for c in gate.calls)
             return min((at for at in lapse if at > now), default=NEVER)
         crowd, heard = self.crowd(endpoint, self.destinations[endpoint.dest].hold.since)
@@ -601,7 +646,8 @@
             for passed in (e for e in routes if e.turn <= destination.turn):
                 passed.turn = destination.turn + self.rng.random() * passed.stride
             more = self.many and (sum(e.is_warm(now) for e in routes) + 1) * REUSE * SECOND <= (
-                destination.rate * self.settings.keepalive_us)
+                destination.rate * self.settings.keepalive_us
+            )
             routes.sort(key=lambda e: (e.rank(now, more) + self.distance(e, quick), e.turn))
         drain_us = self.drain_us(destination) if routes else 0
         best: tuple[int, float] | None = None
@@ -745,13 +791,18 @@
         self.listen(endpoint)
 
     def together(
-            self, first: Message, endpoint: Endpoint, destination: Destination, most: int) -> list[Message]:
+        self, first: Message, endpoint: Endpoint, destination: Destination, most: int
+    ) -> list[Message]:
         """What goes in one call, taken out of the hold: the choice, and the most urgent that may join it."""
         taken, answer, drain_us = [first], self.now + int(endpoint.usual.mean), self.drain_us(destination)
         self.release(first)
         while len(taken) < most and destination.hold:
-            others = [m for cls, zone, line in destination.hold.sendable() if zone in ("", endpoint.zone)
-                      for m in line.around(turns(cls, answer, drain_us, self.settings.halves))]
+            others = [
+                m
+                for cls, zone, line in destination.hold.sendable()
+                if zone in ("", endpoint.zone)
+                for m in line.around(turns(cls, answer, drain_us, self.settings.halves))
+            ]
             if not others:
                 break
             taken.append(max(others, key=lambda m: self.urgency(m, answer, drain_us)))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -21,8 +21,7 @@
 READ_MOST = 256 * 1024  # that asyncio's transport reads at once
 PING, PONG = resp("PING"), b"+PONG\r\n"
 EXPORT = (
-    b"POST /v1/logs HTTP/1.1\r\nHost: x\r\n"
-    b"Content-Type: application/x-protobuf\r\nContent-Length: 0\r\n\r\n"
+    b"POST /v1/logs HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-protobuf\r\nContent-Length: 0\r\n\r\n"
 )
 PLATFORM, OTLP = 0, 1
 REQUESTS, ANSWERS = {PLATFORM: PING, OTLP: EXPORT}, {PLATFORM: b"+PONG", OTLP: b"HTTP/1.1 200"}
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -74,8 +74,11 @@
     assert [things[n] for n in range(len(things))] == [number for _, number in model]
     assert [things.before(at) for at in asked] == [sum(t < at for t, _ in model) for at in asked]
     found = things.around(tuple(asked))
-    wanted = [n for p, (_, n) in enumerate(model) if any(
-        p in (things.before(at) - 1, things.before(at)) for at in asked)]
+    wanted = [
+        n
+        for p, (_, n) in enumerate(model)
+        if any(p in (things.before(at) - 1, things.before(at)) for at in asked)
+    ]
     assert found == (wanted if len(model) > 2 * len(asked) else [n for _, n in model])
     with pytest.raises(KeyError):
         things.remove(99, 99)
@@ -174,6 +177,7 @@
 
 def test_a_round_costs_what_happened_in_it_and_not_what_is_held() -> None:
     """One message in with the hold nearly full cost 55 times as much at 5,000 held as at 50."""
+
     def count(act: Callable[[], object]) -> int:
         calls = 0
 
