--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -20,11 +20,11 @@
 from rowanrack.channels.sync import Meetings
 from rowanrack.store.log_memory import MemoryLog
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 CALL_US = 20_000  # what a meeting takes
 HEAD_BYTES = 400  # of HTTP around a request and its answer
-NEEDS_US = SECOND  # between looks at whom to meet, with nothing new
-START_US = 1_000_000 * SECOND
+NEEDS_US = SECOND_US  # between looks at whom to meet, with nothing new
+START_US = 1_000_000 * SECOND_US
 
 
 class Clock:
@@ -80,7 +80,7 @@
 
     def run(self, seconds: float) -> None:
         """Let so much time pass."""
-        end = self.clock.now + int(seconds * SECOND)
+        end = self.clock.now + int(seconds * SECOND_US)
         while self._queue and self._queue[0][0] <= end:
             self.clock.now, _, action = heapq.heappop(self._queue)
             action()
@@ -156,10 +156,10 @@
 
     def busy(name: str) -> None:
         play.write(name, str(play.random.randrange(channels)))
-        play.at(int(play.random.expovariate(rate) * SECOND), lambda: busy(name))
+        play.at(int(play.random.expovariate(rate) * SECOND_US), lambda: busy(name))
 
     for name in live if rate and channels else ():
-        play.at(play.random.randrange(int(SECOND / rate)), lambda name=name: busy(name))  # type: ignore[misc]
+        play.at(play.random.randrange(int(SECOND_US / rate)), lambda name=name: busy(name))  # type: ignore[misc]
     play.run(warm_s)
     play.met = Met()
     behind: dict[str, list[int]] = {"behind_s": [], "channels_s": []}
@@ -202,7 +202,7 @@
 
 def _mean_and_most(values: Sequence[int]) -> tuple[float, float]:
     """In seconds."""
-    return round(sum(values) / len(values) / SECOND, 1), round(max(values) / SECOND, 1)
+    return round(sum(values) / len(values) / SECOND_US, 1), round(max(values) / SECOND_US, 1)
 
 
 def after_layout(senders: int, channels: int = 6, rate: float = 0.9, warm_s: float = 15) -> dict[str, Any]:
@@ -216,18 +216,18 @@
 
     def busy(name: str) -> None:
         play.write(name, str(play.random.randrange(channels)))
-        play.at(int(play.random.expovariate(rate) * SECOND), lambda: busy(name))
+        play.at(int(play.random.expovariate(rate) * SECOND_US), lambda: busy(name))
 
     for name in live:
-        play.at(play.random.randrange(int(SECOND / rate)), lambda name=name: busy(name))  # type: ignore[misc]
+        play.at(play.random.randrange(int(SECOND_US / rate)), lambda name=name: busy(name))  # type: ignore[misc]
     play.run(warm_s)
-    play.met, now, since = Met(), play.clock.now, play.clock.now + 5 * SECOND
+    play.met, now, since = Met(), play.clock.now, play.clock.now + 5 * SECOND_US
     sites = [[name, 1.0] for name in live if int(name[-4:]) % 10]
     doc = {"version": 1, "from": since, "shards": 64, "keepers": 2, "sites": sites}
     play.sites[live[0]].write([Noted(FLEET, LAYOUT, packed(doc), now)])
     play.stirred(live[0])
     settled: int | None = None
-    while play.clock.now < since + 20 * SECOND:
+    while play.clock.now < since + 20 * SECOND_US:
         play.run(0.25)
         if settled is None and play.clock.now > since:
             laid = play.sites[live[0]].layouts.at(since)
@@ -236,7 +236,7 @@
                 settled = play.clock.now - since
     share = senders * 25
     return {
-        "settled_s": settled and settled / SECOND,
+        "settled_s": settled and settled / SECOND_US,
         "meetings_s": round(2 * play.met.count / share, 2),
         "kib_s": round(2 * play.met.size / 1024 / share, 1),
     }
@@ -256,7 +256,7 @@
         play.exchange(one.name, two.name)
     play.met = Met()
     for _ in range(rounds):
-        play.clock.now += SECOND
+        play.clock.now += SECOND_US
         play.exchange(one.name, two.name)
     assert play.met.bodies == rounds
     return play.met.cpu_s / rounds * 1e6
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -18,10 +18,10 @@
 
 from rowanrack.lab.fleet import Figures, Fleet, Partner, Sender
 from rowanrack.lab.plan import Arrival
-from rowanrack.net.turns import FairLoop
+from rowanrack.net.fair_scheduling import FairLoop
 from rowanrack.store.log_sqlite import SqliteLog
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 def cpu_s(sender: Sender) -> tuple[float, float]:
@@ -45,7 +45,7 @@
     names, rng = list(fleet.senders), Random(1)
     count = int(rate * seconds)
     return [
-        Arrival(int(n / rate * SECOND), f"{label}{n}", "album-update", 1, 8000, (rng.choice(names),))
+        Arrival(int(n / rate * SECOND_US), f"{label}{n}", "album-update", 1, 8000, (rng.choice(names),))
         for n in range(count)
     ]
 
@@ -63,7 +63,7 @@
             took.append(entry.at - began.pop(entry.message))
     rss = max(sender.memory()[0] for sender in fleet.senders.values()) / 1e6
     p50, p99 = np.percentile(took, [50, 99]) / 1000
-    loop, others = used / max(1, len(took)) * SECOND
+    loop, others = used / max(1, len(took)) * SECOND_US
     return {
         "messages": len(took), "us": loop + others, "loop": loop, "others": others,
         "p50": p50, "p99": p99, "rss": rss,
--- a/benchmarks/notes.py
+++ b/benchmarks/notes.py
@@ -26,11 +26,11 @@
 import msgspec
 
 from rowanrack.model import sender as senders
-from rowanrack.model.engine import SECOND
+from rowanrack.model.engine import SECOND_US
 from rowanrack.model.partner import Limit
 from rowanrack.model.scenario import load
 from rowanrack.model.world import World
-from rowanspindle import hearsay, pacing, trust
+from rowanspindle import connection_reuse, gossip, pacing
 
 SCENARIOS = (
     "lowered", "mass-restart", "told-wait", "fleet-return", "lowered exact", "told-wait exact"
@@ -39,7 +39,7 @@
 MOST_RATE = 300.0  # messages a second: each of 200 senders sees little, and a run ends within a minute
 REFUSED_PRICE = 0.02
 LOOK_US = 500_000  # between looks at what senders believe
-HERD_US = 10 * SECOND  # after the end of what happened, in which herds are looked for
+HERD_US = 10 * SECOND_US  # after the end of what happened, in which herds are looked for
 FIGURES = {
     "in_time": "in time %", "worth": "worth", "net": "less notes", "full": "refused calls a message",
     "over": "over the limit", "calls": "calls a message", "datagrams": "datagrams/s each", "points": "price",
@@ -82,7 +82,7 @@
     def _look(self) -> None:
         alive = [s.exchange.forwarder for s in self.world.senders if s.alive]
         for dest in self.world.partners:
-            held = [(f, len(f.destinations[dest].hold)) for f in alive if dest in f.waiting]
+            held = [(f, len(f.destinations[dest].held)) for f in alive if dest in f.waiting]
             sum_held = sum(n for _, n in held)
             if len(held) < 2:  # one that has all the work needs no belief
                 continue
@@ -90,7 +90,7 @@
             for forwarder, own in ((f, n) for f, n in held if n):
                 endpoint = next(iter(forwarder.destinations[dest].endpoints.values()), None)
                 if endpoint is not None:
-                    forwarder.now, since = self.world.engine.now, forwarder.destinations[dest].hold.since
+                    forwarder.now, since = self.world.engine.now, forwarder.destinations[dest].held.since
                     believed = forwarder.crowd(endpoint, since)[0]
                     used += 1 / believed
                     self.errors.append(abs(math.log2(believed * own / sum_held)))
@@ -106,7 +106,7 @@
             times.setdefault(entry.place, []).append(entry.at)
     worst = [0.0, 0.0]
     for calls in times.values():
-        for n, width in enumerate((SECOND // 10, SECOND)):
+        for n, width in enumerate((SECOND_US // 10, SECOND_US)):
             if len(calls) >= 50:  # of fewer, the peak is chance
                 most = max(Counter((at - ends) // width for at in calls).values())
                 worst[n] = max(worst[n], most / (len(calls) * width / HERD_US))
@@ -119,12 +119,14 @@
     way = way_of(text)
     senders.NOTES_TO = way.to
     if way.to:
-        hearsay.MOST_SENDERS = 1 << 20  # pacing and trust go on as they are, unless they are to be as few
+        gossip.MAX_SENDERS_ALL_TELL = (
+            1 << 20
+        )  # pacing and trust go on as they are, unless they are to be as few
     if way.few:
-        pacing.MOST_SENDERS = trust.MOST_SENDERS = 1 << 20  # type: ignore[attr-defined]
+        pacing.MAX_SENDERS_ALL_TELL = connection_reuse.MAX_SENDERS_ALL_TELL = 1 << 20  # type: ignore[attr-defined]
     if way.facts:
-        hearsay.Hearsay.holds = lambda *_: None  # type: ignore[method-assign]
-        senders.HearsayOfSome.crowd = lambda *_: None  # type: ignore[method-assign]
+        gossip.Gossip.update_held = lambda *_: None  # type: ignore[method-assign]
+        senders.HearsayOfSome.active_senders = lambda *_: None  # type: ignore[method-assign]
     over, take = [0], Limit.take
 
     def counted(limit: Limit, now: int) -> int:
--- a/benchmarks/round_worker.py
+++ b/benchmarks/round_worker.py
@@ -12,24 +12,24 @@
 
 from rowanspindle import (
     Accept,
+    DestinationKind,
     Effect,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
     Forwarder,
-    Kind,
-    Member,
-    Members,
     MessageClass,
     Outcome,
     Result,
-    Scope,
     Send,
     Settings,
-    Status,
-    Timer,
+    TimerFired,
+    UpdateScope,
 )
 
-SECOND = 1_000_000
-UPDATE = MessageClass("album-update", 2_500_000, 16 * SECOND, 1.0, 0.3, Effect.SAFE)
-ORDER = MessageClass("print-order", 4 * SECOND, 20 * SECOND, 1.0, 0.5, Effect.UNSAFE)
+SECOND_US = 1_000_000
+UPDATE = MessageClass("album-update", 2_500_000, 16 * SECOND_US, 1.0, 0.3, Effect.SAFE)
+ORDER = MessageClass("print-order", 4 * SECOND_US, 20 * SECOND_US, 1.0, 0.5, Effect.UNSAFE)
 NEARLY_FULL, HALF = 0.92, 0.5  # of most_held; the first is where refusals begin
 
 
@@ -43,12 +43,12 @@
             slots=slots,
             most_held=int(held / full) + 1,
             tenants={},
-            kinds={"k": Kind()},
+            kinds={"k": DestinationKind()},
             replicas=2,
         )
         self.forwarder = Forwarder(settings, 1)
-        listed = (Member(f"t{n}", "z", "k", n, Status.LISTED, 5.0) for n in range(dests))
-        self.forwarder.decide(0, [Members(Scope.FULL, tuple(listed))])
+        listed = (EndpointEntry(f"t{n}", "z", "k", n, EndpointStatus.LISTED, 5.0) for n in range(dests))
+        self.forwarder.decide(0, [EndpointListUpdate(UpdateScope.FULL, tuple(listed))])
         self.out: list[tuple[int, str]] = []
         while len(self.forwarder.messages) < held and self.ref < 3 * held + 100:
             self.now += 100
@@ -68,9 +68,9 @@
 
     def nothing(self) -> None:
         """A timer of the module's own, with nothing else."""
-        self._round(Timer(self.forwarder.token))
+        self._round(TimerFired(self.forwarder.token))
 
-    def _round(self, event: Accept | Outcome | Timer) -> None:
+    def _round(self, event: Accept | Outcome | TimerFired) -> None:
         actions = self.forwarder.decide(self.now, [event])
         self.out += [(a.ref, a.target) for a in actions if isinstance(a, Send)]
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -23,30 +23,30 @@
 
 from rowanspindle import (
     Accept,
-    Arm,
+    ArmTimer,
     Cancel,
+    DestinationKind,
     Disconnect,
     Effect,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
     Event,
     Forwarder,
-    Kind,
-    Member,
-    Members,
     MessageClass,
     Outcome,
     Result,
-    Scope,
     Send,
     Settings,
-    Status,
-    Timer,
-    Watch,
+    TimerFired,
+    UpdateScope,
+    WatchEndpointList,
 )
 
 HERE = Path(__file__).parent.parent
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 IDLE_PART = 0.6  # of the keep-alive after which a sender's pool closes an idle connection
-CLASS = MessageClass("c", 2 * SECOND, 8 * SECOND, 1.0, 0.3, Effect.SAFE)
+CLASS = MessageClass("c", 2 * SECOND_US, 8 * SECOND_US, 1.0, 0.3, Effect.SAFE)
 HAPPENINGS = ("joins", "returns", "wait ends", "discovery returns", "restart")
 
 
@@ -101,19 +101,19 @@
                     self.legs[action.ref] += 1
                     self.out[action.ref, leg] = action.target
                     fleet.call(self, action, leg)
-                case Arm():
+                case ArmTimer():
                     fleet.after(action.after_us, self.timer, action.token, self.lives)
                 case Cancel():
-                    self.end(action.ref, action.leg, self.lives, Result.CANCELLED, 0)
+                    self.end(action.ref, action.attempt_number, self.lives, Result.CANCELLED, 0)
                 case Disconnect():
                     fleet.open[action.target] -= len(self.idle.pop(action.target, []))
-                case Watch():
+                case WatchEndpointList():
                     pass
 
     def timer(self, token: int, life: int) -> None:
         """A timer is due."""
         if life == self.lives:
-            self.decide(Timer(token))
+            self.decide(TimerFired(token))
 
     def connection(self, target: str) -> bool:
         """Take an idle connection, the one used last; whether there is one."""
@@ -134,7 +134,9 @@
         if result is Result.OK or (result is Result.FULL and kept):
             line = next(self.fleet.turn)
             self.idle.setdefault(target, []).append(line)
-            self.fleet.after(int(self.fleet.plan.keepalive * IDLE_PART * SECOND), self.expire, target, line)
+            self.fleet.after(
+                int(self.fleet.plan.keepalive * IDLE_PART * SECOND_US), self.expire, target, line
+            )
         elif result is not Result.CONNECT_FAILED:
             self.fleet.open[target] -= kept
         self.decide(Outcome(ref, leg, target, result, latency, result is Result.OK, wait))
@@ -150,9 +152,9 @@
             slots=50,
             most_held=500,
             tenants={},
-            kinds={"k": Kind()},
+            kinds={"k": DestinationKind()},
             replicas=plan.senders,
-            keepalive_us=int(plan.keepalive * SECOND),
+            keepalive_us=int(plan.keepalive * SECOND_US),
             streams_per_conn=plan.streams,
             weights_told=plan.told > 0,
         )
@@ -174,28 +176,28 @@
         """Do something so much later; ties in the order of asking."""
         heapq.heappush(self.queue, (self.now + us, next(self.turn), what, args))
 
-    def member(self, target: str) -> Member:
+    def member(self, target: str) -> EndpointEntry:
         """An endpoint as the list shows it."""
         zone = f"z{int(target[1:]) % self.plan.zones}"
-        return Member(target, zone, "k", 1, Status.LISTED, self.plan.told)
+        return EndpointEntry(target, zone, "k", 1, EndpointStatus.LISTED, self.plan.told)
 
     def list(self, sender: Sender, life: int) -> None:
         """The sender hears the list as it stands."""
         if life == sender.lives:
-            sender.decide(Members(Scope.FULL, tuple(map(self.member, self.listed))))
+            sender.decide(EndpointListUpdate(UpdateScope.FULL, tuple(map(self.member, self.listed))))
 
     def change(self, add: tuple[str, ...] = (), drop: tuple[str, ...] = ()) -> None:
         """The list changes, and each sender hears of it in its own time."""
         self.listed = [t for t in (*self.listed, *add) if t not in drop]
         for sender in self.senders:
-            self.after(int(self.rng.random() * self.plan.late * SECOND), self.list, sender, sender.lives)
+            self.after(int(self.rng.random() * self.plan.late * SECOND_US), self.list, sender, sender.lives)
 
     def arrive(self) -> None:
         """A message comes to one of the senders."""
         self.refs += 1
         (sender,) = self.rng.choices(self.senders, cum_weights=self.weights)
         sender.decide(Accept(self.refs, "c", 1, CLASS.deadline_us))
-        self.after(int(self.rng.expovariate(self.plan.rate) * SECOND), self.arrive)
+        self.after(int(self.rng.expovariate(self.plan.rate) * SECOND_US), self.arrive)
 
     def call(self, sender: Sender, send: Send, leg: int) -> None:
         """A call goes out, on an idle connection or a new one."""
@@ -209,7 +211,7 @@
             result, latency, kept = Result.CONNECT_FAILED, 0.002, True
             self.vain += 1
         elif self.now < self.full_until:
-            result, latency, wait = Result.FULL, 0.02, self.full_until - self.now + SECOND
+            result, latency, wait = Result.FULL, 0.02, self.full_until - self.now + SECOND_US
         if not kept:
             self.new += 1
             latency += plan.handshake
@@ -218,16 +220,16 @@
             else:
                 self.open[target] += 1
                 self.most_open = max(self.most_open, self.open[target])
-        us = max(1, int(latency * SECOND))
+        us = max(1, int(latency * SECOND_US))
         self.lasted.append(us)
         self.after(us, sender.end, send.ref, leg, sender.lives, result, us, wait, line)
 
     def run(self, until: float) -> None:
         """Let time pass up to there."""
-        while self.queue and self.queue[0][0] < until * SECOND:
+        while self.queue and self.queue[0][0] < until * SECOND_US:
             self.now, _, what, args = heapq.heappop(self.queue)
             what(*args)
-        self.now = int(until * SECOND)
+        self.now = int(until * SECOND_US)
 
 
 def parts(calls: list[tuple[int, str]], listed: list[str]) -> tuple[float, float]:
@@ -242,14 +244,14 @@
     found = {"in_100ms": 0, "in_1s": 0, "idle_s": 0.0}
     for target in listed:
         times = [at for at, t in calls if t == target]
-        for key, width in (("in_100ms", SECOND // 10), ("in_1s", SECOND)):
+        for key, width in (("in_100ms", SECOND_US // 10), ("in_1s", SECOND_US)):
             first = 0
             for last, at in enumerate(times):
                 while times[first] <= at - width:
                     first += 1
                 found[key] = max(found[key], last - first + 1)
         gaps = [b - a for a, b in itertools.pairwise([start, *times, end])]
-        found["idle_s"] = max(found["idle_s"], max(gaps) / SECOND)
+        found["idle_s"] = max(found["idle_s"], max(gaps) / SECOND_US)
     return found
 
 
@@ -268,7 +270,7 @@
         before = at
         if step > 0 and target in stood:
             most, stood[target] = max(most, stood[target]), 0
-    return max(most, *stood.values()) / SECOND
+    return max(most, *stood.values()) / SECOND_US
 
 
 def happen(fleet: Fleet, at: float) -> float:
@@ -284,11 +286,13 @@
             fleet.down = set()
             return at + plan.outage
         case "wait ends":
-            fleet.full_until = int((at + 1) * SECOND)
+            fleet.full_until = int((at + 1) * SECOND_US)
             return at + 2
         case "discovery returns":
             for sender in fleet.senders:
-                fleet.after(fleet.rng.randrange(SECOND), sender.decide, Members(Scope.FAILED))
+                fleet.after(
+                    fleet.rng.randrange(SECOND_US), sender.decide, EndpointListUpdate(UpdateScope.FAILED)
+                )
             fleet.run(at + 8)
             fleet.change(add=(new, new + "1"), drop=("e1",))
             return at + 8
@@ -313,9 +317,9 @@
     if plan.happening:
         start = happen(fleet, now)
         fleet.run(start + plan.watched)
-        after = [c for c in fleet.calls if c[0] >= start * SECOND]
+        after = [c for c in fleet.calls if c[0] >= start * SECOND_US]
         lasted = fleet.lasted[-len(after) :]
-        span = int(start * SECOND), int((start + plan.watched) * SECOND)
+        span = int(start * SECOND_US), int((start + plan.watched) * SECOND_US)
         row["part"] = sum(t == "e0" for _, t in after) * len(fleet.listed) / len(after)
         row["vain"] = fleet.vain
         row |= herds(after, fleet.listed, *span)
@@ -323,12 +327,12 @@
         drawn = herds(lots, fleet.listed, *span)
         row["passed_s"] = passed_over(after, lasted, fleet.listed, span[1])
         drawn["passed_s"] = passed_over(lots, lasted, fleet.listed, span[1])
-        row["even_1s"] = len(after) / len(fleet.listed) * SECOND / (span[1] - span[0])
+        row["even_1s"] = len(after) / len(fleet.listed) * SECOND_US / (span[1] - span[0])
         row |= {f"chance_{key}": value for key, value in drawn.items()}
     else:
         for phase in range(3):
             fleet.run(now + plan.phase)
-            calls = [c for c in fleet.calls if c[0] >= now * SECOND]
+            calls = [c for c in fleet.calls if c[0] >= now * SECOND_US]
             row[f"peak{phase + 1}"], row[f"least{phase + 1}"] = parts(calls, fleet.listed)
             lots = [(at, dice.choice(fleet.listed)) for at, _ in calls]
             row[f"chance_peak{phase + 1}"], row[f"chance_least{phase + 1}"] = parts(lots, fleet.listed)
--- a/rowanrack/app.py
+++ b/rowanrack/app.py
@@ -33,14 +33,14 @@
 from rowanrack.fronts.platform.notices import Notices
 from rowanrack.net.listener import Listener
 from rowanrack.net.peers import PeerPort
-from rowanrack.net.pool import CallForm, InstancePool
+from rowanrack.net.pool import CallForm, EndpointPool
 from rowanrack.net.timing import LoopClock, pause
 from rowanrack.recovery import own
 from rowanrack.shutdown import Phase, Shutdown
 from rowanrack.store.bans import BanFile
 from rowanrack.store.journal import Journal
 from rowanrack.store.outages import OutageFile
-from rowanspindle import Scope
+from rowanspindle import UpdateScope
 
 if TYPE_CHECKING:
     from rowanrack.channels_io.part import ChannelPart
@@ -77,7 +77,7 @@
     def __init__(self, config: Config) -> None:
         self.config = config
         self.clock = LoopClock(
-            lambda: self.exchange.pump(), lambda now, took: self.exchange.governor.ran(now, took)
+            lambda: self.exchange.pump(), lambda now, took: self.exchange.load_shedder.record_delay(now, took)
         )
         keep = {PLATFORM: PLATFORM_KEEP_US}
         self.journal = Journal(
@@ -90,7 +90,7 @@
         self.exchange = Exchange(config.settings, config.seed, self.clock, self.journal, config.tick_us)
         self.forms: dict[str, CallForm] = {PLATFORM: InboxForm(config.settings.reports)}
         self.room = Descriptors.of(config.sockets, config.settings.slots)
-        self.pool = InstancePool(self.exchange, self.forms, self.room.idle)
+        self.pool = EndpointPool(self.exchange, self.forms, self.room.idle)
         self.exchange.side = self.pool
         self.fronts: list[tuple[Listener, tuple[str, int]]] = []
         self.watch: DiscoveryWatch | None = None
@@ -251,7 +251,7 @@
             self.consul = ConsulSource(self.exchange, consul.address, consul.services, consul.tag)
             self.consul.start()
         if self.config.instances:
-            self.exchange.list_instances(Scope.FULL, self.config.instances, "file")
+            self.exchange.list_instances(UpdateScope.FULL, self.config.instances, "file")
         if self.watch is not None and self.config.platform is not None and self.config.platform.pushed:
             await self.watch.first()  # before anything is sent: it counts as told
         self.exchange.recall(self.outages.read(self.clock.now_us(), self.config.settings.ramp_us))
@@ -302,7 +302,7 @@
         exchange.round_over = notices.flush
         for message_id, end in self.journal.untold(PLATFORM):
             notices.tell(message_id, end)
-        exchange.list_instances(Scope.FULL, platform.known)
+        exchange.list_instances(UpdateScope.FULL, platform.known)
         if platform.peers is not None:
             self._start_peers(platform.peers)
 
@@ -376,7 +376,7 @@
             self.otlp.mapping = new.otlp.mapping
             self.config = replace(self.config, otlp=replace(old.otlp, mapping=new.otlp.mapping))
         if old.instances != new.instances:
-            self.exchange.list_instances(Scope.FULL, new.instances, "file")
+            self.exchange.list_instances(UpdateScope.FULL, new.instances, "file")
             self.config = replace(self.config, instances=new.instances)
         log.info("reload: the configuration is taken over")
 
--- a/rowanrack/channels/reads.py
+++ b/rowanrack/channels/reads.py
@@ -22,7 +22,7 @@
 from rowanrack.channels.events import FLEET, Event, Gap, Place
 from rowanrack.channels.layout import Keeper, Layouts
 from rowanrack.channels.past import Past
-from rowanspindle.order import Bucket, Usual, Window
+from rowanspindle.data_structures import ConcurrencyWindow, RunningMean, TokenBucket
 
 PATH = "/_channels/"
 LIMIT, LIMIT_MOST = 200, 1000  # events in an answer
@@ -37,7 +37,7 @@
 TIMEOUT_SILENCES = 4.0  # silences after which an ask is given up; after one another keeper may be asked
 BACKOFF_US, BACKOFF_DOUBLES = 100_000, 4  # after a failure that told no wait
 TRIES = 2  # asks of one keeper in one read
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 class PartAsked(msgspec.Struct, frozen=True, array_like=True):
@@ -216,15 +216,15 @@
     """A keeper as the router knows it."""
 
     def __init__(self) -> None:
-        self.window = Window(WINDOW_START, WINDOW_MOST, WINDOW_FLOOR, WINDOW_CUT)
+        self.window = ConcurrencyWindow(WINDOW_START, WINDOW_MOST, WINDOW_FLOOR, WINDOW_CUT)
         self.out: dict[PartAsked, Out] = {}
-        self.usual = Usual(SMOOTH)
+        self.usual = RunningMean(SMOOTH)
         self.failures, self.failed_at, self.row = 0.0, 0, 0
         self.opens_at = 0
 
     def rank(self, now_us: int) -> float:
         """Calls in flight, and ten for each recent failure."""
-        gone = (now_us - self.failed_at) / SECOND
+        gone = (now_us - self.failed_at) / SECOND_US
         return len(self.out) + FAILURE_WEIGHT * self.failures * math.exp(-gone / FAILURE_DECAY_S)
 
     def silence_us(self, guess_us: int) -> int:
@@ -236,7 +236,7 @@
     def failed(self, now_us: int, sent_at: int, wait_us: int) -> None:
         """An ask failed: cut the window, weigh it in the rank, and heed the told wait or back off."""
         self.window.cut(now_us, sent_at)
-        gone = (now_us - self.failed_at) / SECOND
+        gone = (now_us - self.failed_at) / SECOND_US
         self.failures = 1 + self.failures * math.exp(-gone / FAILURE_DECAY_S)
         self.failed_at = now_us
         wait_us = wait_us or BACKOFF_US << min(self.row, BACKOFF_DOUBLES)
@@ -259,7 +259,7 @@
     """What a router goes by."""
 
     site: str  # the sender's own name
-    deadline_us: int = 2 * SECOND  # of a read
+    deadline_us: int = 2 * SECOND_US  # of a read
     silence_us: int = 400_000  # of an ask, while nothing is known of a site, and at most
     repeats: float = 0.2  # that each first ask adds to the budget
     repeats_per_s: float = 0.5  # that come by themselves
@@ -272,7 +272,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.sites: dict[str, Site] = {}
-        self.budget = Bucket(settings.repeats_most)
+        self.budget = TokenBucket(settings.repeats_most)
         self._blocked: dict[Read, None] = {}  # reads for which no window had room
 
     def read(self, query: Query, layouts: Layouts, now_us: int, unix_us: int) -> Read:
@@ -471,7 +471,7 @@
             return Answer(404, text=f"channel {self.part.channel} was never seen")
         if best is None or not best.seen:
             waits = [self.router.known(k.site).opens_at - now_us for k in self.keepers]
-            seconds = max(1, math.ceil(min(waits, default=0) / SECOND))
+            seconds = max(1, math.ceil(min(waits, default=0) / SECOND_US))
             why = "; ".join(f"{name}: {text}" for name, text in self._unheard(now_us)) or "it has no keeper"
             return Answer(503, text=f"nobody can answer for channel {self.part.channel}: {why}"[:500],
                           retry_after_s=seconds)  # fmt: skip
@@ -507,7 +507,7 @@
             elif keeper.site in self._tries:
                 why = "no answer yet"
             elif site.opens_at > now_us:
-                why = f"not to be asked for {(site.opens_at - now_us) / SECOND:.1f} s"
+                why = f"not to be asked for {(site.opens_at - now_us) / SECOND_US:.1f} s"
             else:
                 why = "no room for an ask, or no repeat left"
             found.append((keeper.site, why))
--- a/rowanrack/channels_io/watching.py
+++ b/rowanrack/channels_io/watching.py
@@ -6,10 +6,14 @@
 
 from rowanrack.channels import events as kinds
 from rowanrack.core.exchange import MAYBE_RAN, Exchange
-from rowanrack.core.messages import Attempt, End, Ending, Instance, Message, Refusal
-from rowanspindle import Result, Status
-
-OF_STATUS = {Status.LISTED: kinds.LISTED, Status.DRAINING: kinds.DRAINING, Status.REMOVED: kinds.GONE}
+from rowanrack.core.messages import Attempt, End, Ending, Endpoint, Message, Refusal
+from rowanspindle import EndpointStatus, Result
+
+OF_STATUS = {
+    EndpointStatus.LISTED: kinds.LISTED,
+    EndpointStatus.DRAINING: kinds.DRAINING,
+    EndpointStatus.REMOVED: kinds.GONE,
+}
 OF_ENDING = {Ending.DELIVERED: kinds.DELIVERED, Ending.REFUSED: kinds.REFUSED}  # any other: FAILED
 
 
@@ -26,7 +30,7 @@
     def __init__(self, exchange: Exchange, notes: Noting, ids: bool) -> None:
         self._exchange, self._ids = exchange, ids
         self._later, self._unix_us = notes.later, exchange.clock.unix_us
-        self._given: dict[str, tuple[int, Status]] = {}  # each endpoint as last noted
+        self._given: dict[str, tuple[int, EndpointStatus]] = {}  # each endpoint as last noted
         self._out: set[str] = set()  # endpoints in an outage as last noted
 
     def start(self) -> None:
@@ -47,30 +51,30 @@
     def turned_away(self, message: Message | None, refusal: Refusal) -> None:
         """A message is not taken: it never was the channel's."""
 
-    def listed(self, news: list[Instance], gone: list[str]) -> None:
+    def listed(self, news: list[Endpoint], gone: list[str]) -> None:
         """News of instances."""
         for i in news:
             if self._given.get(i.name) != (i.dest, i.status):
                 self._given[i.name] = i.dest, i.status
                 payload = {"endpoint": i.name, "kind": i.kind, "rate": i.rate}
                 self._note(i.dest, OF_STATUS[i.status], payload)
-        for name in [*gone, *(i.name for i in news if i.status is Status.REMOVED)]:
-            dest, status = self._given.pop(name, (0, Status.REMOVED))
+        for name in [*gone, *(i.name for i in news if i.status is EndpointStatus.REMOVED)]:
+            dest, status = self._given.pop(name, (0, EndpointStatus.REMOVED))
             self._out.discard(name)
-            if status is not Status.REMOVED:
+            if status is not EndpointStatus.REMOVED:
                 self._note(dest, kinds.GONE, {"endpoint": name})
 
     def began(self, attempt: Attempt) -> None:
         """A call's first byte is about to go out."""
-        message, payload = attempt.message, {"endpoint": attempt.instance.name, "leg": attempt.leg}
+        message, payload = attempt.message, {"endpoint": attempt.endpoint.name, "leg": attempt.attempt_number}
         self._note(message.dest, kinds.BEGUN, payload, message)
 
     def settled(self, attempt: Attempt, result: Result, wait_us: int) -> None:
         """A call has ended."""
-        message, name = attempt.message, attempt.instance.name
+        message, name = attempt.message, attempt.endpoint.name
         if attempt.begun and result is not Result.OK:
             kind = kinds.MAY_HAVE_RUN if result in MAYBE_RAN else kinds.NEVER_RAN
-            payload = {"endpoint": name, "leg": attempt.leg, "result": result.value}
+            payload = {"endpoint": name, "leg": attempt.attempt_number, "result": result.value}
             self._note(message.dest, kind, payload, message)
         if wait_us:
             self._note(message.dest, kinds.WAIT, {"endpoint": name, "wait_us": wait_us})
--- a/rowanrack/cli.py
+++ b/rowanrack/cli.py
@@ -18,7 +18,7 @@
 from rowanrack import __version__, logs
 from rowanrack.app import serve as serve_config
 from rowanrack.config import Config, ConfigError, operator_config, platform_config
-from rowanrack.net.turns import FairLoop
+from rowanrack.net.fair_scheduling import FairLoop
 from rowanrack.store.journal import Journal, JournalError
 
 # Groups that live with their package, and are imported only when they are asked for: a sender needs none.
@@ -174,7 +174,7 @@
     for message in book.owed.values():
         ran = "may have run" if message.unsettled else "has not run"
         left_s = (message.deadline_us - book.unix_us()) / 1_000_000
-        used = f"{message.legs} attempts, {ran}, {left_s:.1f} s left"
+        used = f"{message.attempts_made} attempts, {ran}, {left_s:.1f} s left"
         click.echo(f"owed {message.id} {message.cls} to {message.dest}: {used}")
     for message_id, ended in book.ends.items():
         click.echo(f"ended {message_id} {ended.end.ending.value}")
--- a/rowanrack/config.py
+++ b/rowanrack/config.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from rowanrack.core.messages import HEADER_SAFE, Instance
+from rowanrack.core.messages import HEADER_SAFE, Endpoint
 from rowanrack.fronts.otlp.mapping import RequestMap, Source
 from rowanrack.fronts.platform.discovery import ListError, parse_address, parse_list
-from rowanspindle import Settings, Status
-from rowanspindle.hearsay import talks
+from rowanspindle import EndpointStatus, Settings
+from rowanspindle.gossip import notes_enabled
 from rowanspindle.wire import WireError, parse_settings
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seq: int
-    known: tuple[Instance, ...]
+    known: tuple[Endpoint, ...]
     peers: PeersConfig | None = None
     pushed: bool = False  # whether what discovery has counts as told from the start, asked for or not
 
@@ -109,7 +109,7 @@
     consul: ConsulConfig | None = None
     console: Path | None = None
     record: RecordConfig | None = None
-    instances: tuple[Instance, ...] = ()
+    instances: tuple[Endpoint, ...] = ()
     mgmt: tuple[str, int] | None = None  # the operators' address
     channels: ChannelsConfig | None = None
 
@@ -254,7 +254,7 @@
 def _peers(doc: Mapping[str, Any], settings: Settings) -> PeersConfig | None:
     """Where senders tell each other something; None where they may not, or no address is given."""
     listen, peers, all_at = (doc.get(key) for key in ("peer_listen", "peers", "peers_all"))
-    if not talks(settings) or not (listen and peers and all_at):
+    if not notes_enabled(settings) or not (listen and peers and all_at):
         return None
     return PeersConfig(parse_address(listen), tuple(map(parse_address, peers)), parse_address(all_at))
 
@@ -317,6 +317,8 @@
         raise ValueError(f"{key}: {error}") from None
 
 
-def _instance(given: InstanceTable) -> Instance:
+def _instance(given: InstanceTable) -> Endpoint:
     host, port = parse_address(given.address)
-    return Instance(given.name, host, port, given.zone, given.kind, given.dest, Status.LISTED, given.rate)
+    return Endpoint(
+        given.name, host, port, given.zone, given.kind, given.dest, EndpointStatus.LISTED, given.rate
+    )
--- a/rowanrack/console/snapshot.py
+++ b/rowanrack/console/snapshot.py
@@ -21,11 +21,11 @@
 
 def destination_row(number: int, destination: Destination, now: int) -> dict[str, Any]:
     """One destination with its instances."""
-    gate = destination.gate
+    gate = destination.shared_limit
     return {
         "dest": number,
-        "held": len(destination.hold),
-        "oldest_s": max(0, now - destination.hold.since) / 1e6 if destination.hold else 0.0,
+        "held": len(destination.held),
+        "oldest_s": max(0, now - destination.held.since) / 1e6 if destination.held else 0.0,
         "wait_s": max(0, gate.opens_at - now) / 1e6 if gate is not None else 0.0,
         "window": gate.window.size if gate is not None else 0.0,
         "out": len(gate.calls) if gate is not None else 0,
--- a/rowanrack/consul.py
+++ b/rowanrack/consul.py
@@ -14,11 +14,11 @@
 from urllib.parse import quote
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.core.messages import Instance
+from rowanrack.core.messages import Endpoint
 from rowanrack.net.http import FAILURES, HttpLine
 from rowanrack.net.rare_log import RareLog
 from rowanrack.net.timing import pause, time_limit
-from rowanspindle import Scope, Status
+from rowanspindle import EndpointStatus, UpdateScope
 
 log = logging.getLogger(__name__)
 
@@ -46,15 +46,15 @@
     return 0 if index < last else max(1, index)
 
 
-def status_of(checks: list[dict[str, Any]]) -> Status:
+def status_of(checks: list[dict[str, Any]]) -> EndpointStatus:
     """Maintenance means that nothing new is wanted, and a critical check says the same."""
     for check in checks:
         if str(check.get("CheckID", "")).startswith(MAINTENANCE) or check.get("Status") == "critical":
-            return Status.DRAINING
-    return Status.LISTED
+            return EndpointStatus.DRAINING
+    return EndpointStatus.LISTED
 
 
-def read_instance(item: dict[str, Any]) -> Instance:
+def read_instance(item: dict[str, Any]) -> Endpoint:
     """One entry of a health query."""
     service, node = item["Service"], item["Node"]
     meta = service.get("Meta") or {}
@@ -63,7 +63,7 @@
         raise ValueError(f"port: {port}")
     if not math.isfinite(rate) or rate < 0:
         raise ValueError(f"rate: {rate}")
-    return Instance(
+    return Endpoint(
         name=f"{node['Node']}/{service['ID']}",
         host=str(service.get("Address") or node["Address"]),
         port=port,
@@ -75,7 +75,7 @@
     )
 
 
-def read_instances(doc: Any, lines: RareLog | logging.Logger = log) -> list[Instance]:
+def read_instances(doc: Any, lines: RareLog | logging.Logger = log) -> list[Endpoint]:
     """The entries of a health query; one without its meta is logged and left out."""
     if not isinstance(doc, list):
         raise ConsulError("not a list of instances")
@@ -126,14 +126,16 @@
     def _watch(self, services: set[str]) -> None:
         for name in sorted(self._tasks.keys() - services):
             self._tasks.pop(name).cancel()
-            self.exchange.list_instances(Scope.FULL, (), f"consul {name}")
+            self.exchange.list_instances(UpdateScope.FULL, (), f"consul {name}")
         for name in sorted(services - self._tasks.keys()):
             path = f"/v1/health/service/{quote(name, safe='')}?"
             self._tasks[name] = asyncio.create_task(self._follow(path, name, self._lister(name)))
 
     def _lister(self, name: str) -> Callable[[Any], None]:
         def take(doc: Any) -> None:
-            self.exchange.list_instances(Scope.FULL, read_instances(doc, self._rare_out), f"consul {name}")
+            self.exchange.list_instances(
+                UpdateScope.FULL, read_instances(doc, self._rare_out), f"consul {name}"
+            )
 
         return take
 
--- a/rowanrack/core/exchange.py
+++ b/rowanrack/core/exchange.py
@@ -11,51 +11,51 @@
 from dataclasses import replace
 from typing import Protocol
 
+from rowanrack.core.endpoint_list import EndpointList, EndpointListChange
 from rowanrack.core.event_feed import EventFeed
-from rowanrack.core.figures import Figures
 from rowanrack.core.messages import (
     Attempt,
     Batch,
+    CallVerdict,
     End,
     Ending,
-    Instance,
+    Endpoint,
     Message,
     Progress,
     Refusal,
-    Verdict,
 )
-from rowanrack.core.name_table import Change, NameTable
+from rowanrack.core.metrics import Metrics
 from rowanrack.core.wheel import TimerWheel, WheelTimer
-from rowanrack.load.governor import Governor
+from rowanrack.load.load_shedder import LoadShedder
 from rowanspindle import (
     Accept,
     Action,
-    Arm,
+    ArmTimer,
+    BroadcastNote,
     Cancel,
+    DestinationKind,
     Disconnect,
     Effect,
+    EndpointStatus,
     Event,
     Fail,
     Forwarder,
-    Heard,
-    Kind,
-    Log,
+    LogLine,
+    NoteReceived,
     Outage,
+    OutagesRestored,
     Outcome,
-    Recalled,
     Refuse,
     Result,
-    Scope,
     Send,
     Settings,
-    Status,
-    Tell,
-    Timer,
-    Watch,
+    TimerFired,
+    UpdateScope,
+    WatchEndpointList,
     Withdrawn,
 )
+from rowanspindle.data_structures import DeadlineQueue
 from rowanspindle.notes import Note
-from rowanspindle.order import Agenda
 
 log = logging.getLogger(__name__)
 
@@ -67,7 +67,7 @@
 STORE_LOOK_US = 100_000  # between looks at whether the store records again
 # An attempt that the store did not record. The wait guards the attempts that a message has: without it each
 # round would send it, and stop it, anew.
-UNRECORDED = Verdict(Result.MOOT, wait_us=500_000)
+UNRECORDED = CallVerdict(Result.MOOT, wait_us=500_000)
 ANSWER_US = 50_000  # between looks at an answer that had begun to come in when its call's time was up
 ANSWER_LOOKS = 4
 DECIDE_AGAIN_US = 1_000_000  # after a round that the decision module could not finish, before the next try
@@ -103,10 +103,10 @@
     def take(self, message: Message) -> bool:
         """Record a message; False when there is no room for it, its attempts and its end."""
 
-    def begin(self, message: Message, leg: int) -> bool:
+    def begin(self, message: Message, attempt_number: int) -> bool:
         """Record that an attempt is about to begin; False if that cannot be done."""
 
-    def never_ran(self, message: Message, leg: int) -> None:
+    def never_ran(self, message: Message, attempt_number: int) -> None:
         """Record the proof that an attempt never ran."""
 
     def end(self, message: Message, end: End) -> None:
@@ -116,7 +116,7 @@
         """The recorded end of a message, while it is kept."""
 
 
-class InstanceSide(Protocol):
+class EndpointCalls(Protocol):
     """Calls to instances."""
 
     def start(self, batch: Batch) -> None:
@@ -141,7 +141,7 @@
     def turned_away(self, message: Message | None, refusal: Refusal) -> None:
         """A message is not taken; without it when it was not read that far."""
 
-    def listed(self, news: list[Instance], gone: list[str]) -> None:
+    def listed(self, news: list[Endpoint], gone: list[str]) -> None:
         """News of instances, and the names of those that are gone."""
 
     def began(self, attempt: Attempt) -> None:
@@ -161,17 +161,17 @@
         self.settings, self.clock, self.store = settings, clock, store
         self.forwarder = Forwarder(settings, seed)
         self.wheel = TimerWheel(tick_us, clock.now_us())
-        self.table = NameTable()
+        self.table = EndpointList()
         self.messages: dict[str, Message] = {}
         self.counts = dict.fromkeys(Ending, 0)
-        self.side: InstanceSide | None = None
+        self.side: EndpointCalls | None = None
         self.observers: tuple[Observer, ...] = ()
         self.watch: Callable[[], None] = lambda: None
         self.tell: Callable[[Note], None] = lambda note: None  # a note to all other senders
         self.round_over: Callable[[], None] = lambda: None  # the ends of a round are known: tell them now
-        self.governor = Governor(clock.now_us())
+        self.load_shedder = LoadShedder(clock.now_us())
         self.listeners: dict[str, Callable[[Message, End], None]] = {}
-        self.figures = Figures()
+        self.figures = Metrics()
         self.bans = self.table.bans  # nothing new goes there, whatever the lists say
         self._refs: dict[int, Message] = {}
         self._next_ref = 0
@@ -179,7 +179,7 @@
         self.frozen = False
         self._pumping = False
         self._due_us: int | None = None  # when the next round is due
-        self._waits: Agenda[str | int] = Agenda()
+        self._waits: DeadlineQueue[str | int] = DeadlineQueue()
         self._unbegun: dict[str, dict[Attempt, None]] = {}  # by the instance that they are for
         self._batches: dict[str, list[Batch]] = {}  # what the round sends, by instance
         self._looks = False  # whether a look at the store is due
@@ -199,16 +199,16 @@
 
         What is owed or has ended under that id is answered as ever: a refusal would deny it.
         """
-        self.knock()
+        self.run_overdue_round()
         if message_id and self.known(message_id) is not None:
             return None
-        if not (retry_us := self.governor.refuses()):
+        if not (retry_us := self.load_shedder.refuses()):
             return None
         return self._turned_away(None, Refusal(min(retry_us, self.settings.max_come_back_us)))
 
     def submit(self, message: Message) -> Refusal | None:
         """Take a message, or refuse it; once this returns None the sender owes its end."""
-        self.knock()
+        self.run_overdue_round()
         if self.frozen or len(self.messages) >= self.settings.most_held:
             return self._turned_away(message, Refusal(self._retry_us()))
         if not self.table.knows(message.dest, self.clock.now_us()):
@@ -248,9 +248,9 @@
                 left_us,
                 message.tenant or None,
                 message.key or None,
-                legs=message.legs,
-                ran=bool(message.unsettled),
-                ran_us=self._ran_us(message),
+                attempts_made=message.attempts_made,
+                may_have_run=bool(message.unsettled),
+                first_attempt_age_us=self._ran_us(message),
                 waited_us=self._waited_us(message, left_us) if found else 0,
             )
         )
@@ -308,7 +308,7 @@
 
     # The instances' side.
 
-    def list_instances(self, scope: Scope, instances: Iterable[Instance], source: str = "") -> None:
+    def list_instances(self, scope: UpdateScope, instances: Iterable[Endpoint], source: str = "") -> None:
         """News from a source of the name table. A detached instance is listed as draining."""
         self._listed(self.table.update(scope, instances, source, self.clock.now_us()))
 
@@ -326,7 +326,7 @@
     def recall(self, outages: tuple[Outage, ...]) -> None:
         """What the process before this one knew of them, before anything is sent."""
         if outages:
-            self._put(Recalled(outages))
+            self._put(OutagesRestored(outages))
 
     def ban(self, name: str) -> None:
         """Detach an instance, known or not yet: a ban outlasts the lists, and comes over from a restart."""
@@ -342,7 +342,7 @@
             return False
         self.bans.discard(name)
         if (given := self.table.given(name)) is not None:
-            for instance in (replace(given, status=Status.REMOVED), given):
+            for instance in (replace(given, status=EndpointStatus.REMOVED), given):
                 self._listed(self.table.show([instance], self.clock.now_us()))
         return True
 
@@ -354,8 +354,8 @@
         out = {name for name, e in endpoints if e.out_since is not None and name in listed}
         return len(out | (self.bans & listed))
 
-    def _listed(self, change: Change) -> None:
-        left = [i for i in change.news if i.status is not Status.REMOVED]
+    def _listed(self, change: EndpointListChange) -> None:
+        left = [i for i in change.news if i.status is not EndpointStatus.REMOVED]
         for observer in self.observers:
             observer.listed(left, list(change.gone))
         self._put(change.members)
@@ -378,15 +378,15 @@
         # Guards against a send after a wait was told, or to an instance that drains or is gone, by a call
         # that was decided on before and waited for its connection.
         waiting = (self._waits.get(self._limit(attempt)) or 0) > self.clock.now_us()
-        barred = waiting or not self._owed(message) or not self.table.listed(attempt.instance.name)
+        barred = waiting or not self._owed(message) or not self.table.listed(attempt.endpoint.name)
         # Or a repeat that waited for its connection until its key's time was over.
         barred = barred or self._key_lapsed(message)
         # Guards against a second effect after a restart: what the store does not know must not begin.
-        if barred or not self.store.begin(message, attempt.leg):
+        if barred or not self.store.begin(message, attempt.attempt_number):
             self.settle(attempt, Result.MOOT if barred else UNRECORDED)
             return False
         late = self._key_lapsed(message)  # while the store took its time
-        message.unsettled[attempt.leg] = self.clock.unix_us()
+        message.unsettled[attempt.attempt_number] = self.clock.unix_us()
         attempt.begun = True
         if late:
             self.settle(attempt, Result.MOOT)
@@ -397,12 +397,12 @@
             observer.began(attempt)
         return True
 
-    def settle(self, attempt: Attempt, verdict: Verdict | Result) -> None:
+    def settle(self, attempt: Attempt, verdict: CallVerdict | Result) -> None:
         """An attempt has ended, and its message too if the verdict says so. Only its first end counts."""
         if attempt.settled:
             return
         if isinstance(verdict, Result):
-            verdict = Verdict(verdict)
+            verdict = CallVerdict(verdict)
         result, wait_us, end = verdict.result, verdict.wait_us, verdict.end
         attempt.settled = True
         if attempt.timer is not None:
@@ -410,7 +410,7 @@
         message, now = attempt.message, self.clock.now_us()
         for observer in self.observers:
             observer.settled(attempt, result, wait_us)
-        message.out.pop(attempt.leg, None)
+        message.out.pop(attempt.attempt_number, None)
         self._no_longer_unbegun(attempt)
         self._forget(message)
         if wait_us:
@@ -418,39 +418,47 @@
             self._waits.set(limit, max(now + wait_us, self._waits.get(limit) or 0))
         owed = self._owed(message)
         if attempt.begun and result not in MAYBE_RAN and result is not Result.OK:
-            message.unsettled.pop(attempt.leg, None)
+            message.unsettled.pop(attempt.attempt_number, None)
             if owed:
-                self.store.never_ran(message, attempt.leg)
+                self.store.never_ran(message, attempt.attempt_number)
         if owed and result is Result.OK:
             self._end(message, End(Ending.DELIVERED))
         elif owed and end is not None:
             self._end(message, End(end))
         over = not self._owed(message)
         latency = now - attempt.started_us
-        name = attempt.instance.name
+        name = attempt.endpoint.name
         self._put(
             Outcome(
-                message.ref, attempt.leg, name, result, latency, over, wait_us, verdict.left, verdict.limit
+                message.ref,
+                attempt.attempt_number,
+                name,
+                result,
+                latency,
+                over,
+                wait_us,
+                verdict.left,
+                verdict.limit,
             )
         )
 
     def _no_longer_unbegun(self, attempt: Attempt) -> None:
-        if (waiting := self._unbegun.get(attempt.instance.name)) is not None:
+        if (waiting := self._unbegun.get(attempt.endpoint.name)) is not None:
             waiting.pop(attempt, None)
             if not waiting:
-                del self._unbegun[attempt.instance.name]
+                del self._unbegun[attempt.endpoint.name]
 
     def _limit(self, attempt: Attempt) -> str | int:
         """What a told wait holds for: the whole destination, or one route where routes are apart."""
-        instance = attempt.instance
-        apart = self.settings.kinds.get(instance.kind, Kind()).apart
+        instance = attempt.endpoint
+        apart = self.settings.kinds.get(instance.kind, DestinationKind()).apart
         return instance.name if apart else instance.dest
 
     # The other senders.
 
     def heard(self, peer: int, note: Note) -> None:
         """A note from another sender, by its number. Notes of many come together: a round serves several."""
-        self._events.append(Heard(peer, note))
+        self._events.append(NoteReceived(peer, note))
         self._wake_at(self.clock.now_us() + HEARD_US)
 
     # The module.
@@ -467,7 +475,7 @@
             self._due_us = due_us
             self.clock.wake_at(due_us)
 
-    def knock(self) -> None:
+    def run_overdue_round(self) -> None:
         """Run a round that is overdue. Whoever uses the loop's time calls this, bad clients' servers too.
 
         Guards what is owed against a full core: a round must not queue behind everything else that is ready,
@@ -496,7 +504,7 @@
 
     def _round(self, now: int) -> None:
         if self._due_us is not None:
-            self.governor.ran(now, now - self._due_us)
+            self.load_shedder.record_delay(now, now - self._due_us)
         self._due_us = None
         self.wheel.advance(now)
         batch, self._events = self._events, []
@@ -528,7 +536,7 @@
             if not events.read:
                 # No event is at fault. The round is tried again later: without that no timer of the module
                 # would be armed any more.
-                self.after(DECIDE_AGAIN_US, lambda: self._put(Timer(self.forwarder.token)))
+                self.after(DECIDE_AGAIN_US, lambda: self._put(TimerFired(self.forwarder.token)))
                 return
             events = events.unread()
 
@@ -556,19 +564,19 @@
                 self._finish(action.ref, End(Ending.FAILED))
             case Cancel():
                 message = self._refs.get(action.ref)
-                if message is not None and (attempt := message.out.get(action.leg)) is not None:
+                if message is not None and (attempt := message.out.get(action.attempt_number)) is not None:
                     self._drop(attempt, Result.CANCELLED)
             case Disconnect():
                 if self.side is not None:
                     self.side.close_idle(action.target)
-            case Arm():
+            case ArmTimer():
                 token = action.token
-                self.wheel.at(now + action.after_us, lambda: self._events.append(Timer(token)))
-            case Watch():
+                self.wheel.at(now + action.after_us, lambda: self._events.append(TimerFired(token)))
+            case WatchEndpointList():
                 self.watch()
-            case Tell():
+            case BroadcastNote():
                 self.tell(action.note)
-            case Log():
+            case LogLine():
                 log.info("module: %s", action.text)
 
     def _send(self, action: Send, now: int) -> None:
@@ -577,7 +585,7 @@
         if message is None or not self._owed(message):
             log.error("the module sends message %d, which has ended", action.ref)
             return
-        leg, message.legs = message.legs, message.legs + 1
+        leg, message.attempts_made = message.attempts_made, message.attempts_made + 1
         # Guards against a call to another destination's instance, should a list have moved one.
         if instance is None or instance.dest != message.dest or self.side is None:
             self._put(Outcome(action.ref, leg, action.target, Result.MOOT, 0, False))
@@ -588,9 +596,9 @@
         self._unbegun.setdefault(instance.name, {})[attempt] = None
         attempt.timer = self.after(action.timeout_us, lambda: self._drop(attempt, Result.TIMEOUT))
 
-    def _batch_for(self, message: Message, instance: Instance) -> Batch:
+    def _batch_for(self, message: Message, instance: Endpoint) -> Batch:
         """The batch in which a message of this round travels: as many as the kind takes, none twice."""
-        most = self.settings.kinds.get(instance.kind, Kind()).batch
+        most = self.settings.kinds.get(instance.kind, DestinationKind()).batch
         batches = self._batches.setdefault(instance.name, [])
         for batch in batches[-1:]:
             if len(batch.attempts) < most and all(e.message is not message for e in batch.attempts):
--- a/rowanrack/core/messages.py
+++ b/rowanrack/core/messages.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from rowanrack.core.wheel import WheelTimer
-from rowanspindle import Member, Result, Status
+from rowanspindle import EndpointEntry, EndpointStatus, Result
 
 HEADER_SAFE = re.compile(r"[!-~]{1,256}")  # ids and keys travel in headers
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class CallVerdict:
     """What the end of a call means for an attempt; with `end` its message ends, whatever the result.
 
     `left` and `limit` are what a report told: the share of the limit that is left, and calls a second.
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Instance:
+class Endpoint:
     """An endpoint as the name table lists it."""
 
     name: str
@@ -68,12 +68,12 @@
     zone: str
     kind: str
     dest: int
-    status: Status
+    status: EndpointStatus
     rate: float
 
-    def member(self) -> Member:
+    def to_entry(self) -> EndpointEntry:
         """The same in the module's terms."""
-        return Member(self.name, self.zone, self.kind, self.dest, self.status, self.rate)
+        return EndpointEntry(self.name, self.zone, self.kind, self.dest, self.status, self.rate)
 
 
 @dataclass(slots=True)
@@ -89,7 +89,7 @@
     front: str
     form: str = ""
     key: str = ""  # the idempotency key, passed on unchanged
-    legs: int = 0
+    attempts_made: int = 0
     # Attempts begun and not proved never to have run, and when each began (Unix time; 0: not known).
     unsettled: dict[int, int] = field(default_factory=dict)
     ref: int = 0
@@ -102,8 +102,8 @@
     """One attempt to deliver a message to an instance."""
 
     message: Message
-    leg: int
-    instance: Instance
+    attempt_number: int
+    endpoint: Endpoint
     started_us: int
     timeout_us: int
     batch: Batch
@@ -117,7 +117,7 @@
 class Batch:
     """Attempts that travel to an instance together: one slot, and one call where the protocol has one."""
 
-    instance: Instance
+    endpoint: Endpoint
     attempts: list[Attempt] = field(default_factory=list)
 
     def waiting(self) -> list[Attempt]:
--- a/rowanrack/core/figures.py
+++ b/rowanrack/core/metrics.py
@@ -20,7 +20,7 @@
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-class Figures:
+class Metrics:
     """Counts of messages by class: delivered, refused or handed back, failed; calls written to endpoints."""
 
     def __init__(self) -> None:
--- a/rowanrack/fronts/otlp/calls.py
+++ b/rowanrack/fronts/otlp/calls.py
@@ -7,7 +7,7 @@
 from datetime import datetime
 from email.utils import parsedate_to_datetime
 
-from rowanrack.core.messages import Attempt, Ending, Verdict
+from rowanrack.core.messages import Attempt, CallVerdict, Ending
 from rowanrack.fronts.otlp import OtlpError
 from rowanrack.fronts.otlp.signals import JSON, PROTOBUF, SIGNALS, parse_message
 from rowanrack.net.http import Call, Reply
@@ -46,26 +46,26 @@
         keyed = (("Idempotency-Key", message.key),) if message.key else ()
         return Call("POST", f"/v1/{signal}", (("Content-Type", kind), *keyed), message.body)
 
-    def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[Verdict]:
+    def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
         """What the one answer means."""
         return [self._verdict(part[0], reply)]
 
-    def _verdict(self, attempt: Attempt, reply: Reply) -> Verdict:
+    def _verdict(self, attempt: Attempt, reply: Reply) -> CallVerdict:
         """429 and 503 are refusals; 502 and 504 may have run; what is never to be repeated is final."""
         match reply.status:
             case 200:
                 self._log_partial(attempt, reply)
-                return Verdict(Result.OK)
+                return CallVerdict(Result.OK)
             case 429 | 503:
                 wait_us = retry_after_us(reply.headers.get("retry-after", ""), datetime.now().astimezone())
-                return Verdict(Result.FULL, wait_us)
+                return CallVerdict(Result.FULL, wait_us)
             case 502 | 504:
-                return Verdict(Result.ERROR)
+                return CallVerdict(Result.ERROR)
             case status if 500 <= status < 600:
-                return Verdict(Result.ERROR, end=Ending.FAILED)
+                return CallVerdict(Result.ERROR, end=Ending.FAILED)
             case status:
-                log.warning("%s: answered %d, message is failed", attempt.instance.name, status)
-                return Verdict(Result.MOOT, end=Ending.FAILED)
+                log.warning("%s: answered %d, message is failed", attempt.endpoint.name, status)
+                return CallVerdict(Result.MOOT, end=Ending.FAILED)
 
     @staticmethod
     def _log_partial(attempt: Attempt, reply: Reply) -> None:
@@ -75,8 +75,8 @@
         try:
             response = parse_message(signal.response(), reply.body, kind)
         except OtlpError:
-            log.warning("%s: delivered, but the answer cannot be read", attempt.instance.name)
+            log.warning("%s: delivered, but the answer cannot be read", attempt.endpoint.name)
             return
         if response.HasField("partial_success"):
             text = " ".join(str(getattr(response, "partial_success")).split())  # noqa: B009
-            log.warning("%s: partial success: %s", attempt.instance.name, text)
+            log.warning("%s: partial success: %s", attempt.endpoint.name, text)
--- a/rowanrack/fronts/platform/discovery.py
+++ b/rowanrack/fronts/platform/discovery.py
@@ -10,15 +10,19 @@
 from typing import Any
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.core.messages import Instance
+from rowanrack.core.messages import Endpoint
 from rowanrack.net.http import FAILURES, BadReplyError, HttpLine
 from rowanrack.net.rare_log import RareLog
 from rowanrack.net.timing import pause, time_limit
-from rowanspindle import Scope, Status
+from rowanspindle import EndpointStatus, UpdateScope
 
 log = logging.getLogger(__name__)
 
-STATUSES = {"SERVING": Status.LISTED, "DRAINING": Status.DRAINING, "DELETED": Status.REMOVED}
+STATUSES = {
+    "SERVING": EndpointStatus.LISTED,
+    "DRAINING": EndpointStatus.DRAINING,
+    "DELETED": EndpointStatus.REMOVED,
+}
 WAIT_MS = 10_000  # for which a watch waits: a silent loss of it is noticed so much later
 UNSURE_MS = 1_000  # for which it waits at first at a new address or after a failure: the next may be silent
 GRACE_US = 1_000_000  # past that: what discovery has to tell counts as told 2 s after the wait
@@ -55,14 +59,14 @@
     """An answer of discovery: a version, a scope, the entries, and why others could not be read."""
 
     seq: int
-    scope: Scope
-    entries: list[Instance]
+    scope: UpdateScope
+    entries: list[Endpoint]
     unreadable: list[str]
 
 
-def parse_entry(host: Any) -> Instance:
+def parse_entry(host: Any) -> Endpoint:
     """One entry in discovery's form. Raises one of UNREADABLE."""
-    return Instance(
+    return Endpoint(
         str(host["host"]),
         *parse_address(host["dial"]),
         str(host["site"]),
@@ -75,9 +79,13 @@
 
 def read_list(doc: Any) -> ServerList:
     """A list in discovery's form; a whole one of which no entry can be read is a ListError."""
-    entries, unreadable = list[Instance](), list[str]()
+    entries, unreadable = list[Endpoint](), list[str]()
     try:
-        seq, scope, hosts = int(doc["seq"]), Scope.FULL if doc["whole"] else Scope.DELTA, list(doc["hosts"])
+        seq, scope, hosts = (
+            int(doc["seq"]),
+            UpdateScope.FULL if doc["whole"] else UpdateScope.DELTA,
+            list(doc["hosts"]),
+        )
     except UNREADABLE as error:
         raise ListError(f"unreadable list: {error!r}") from None
     for host in hosts:
@@ -85,12 +93,12 @@
             entries.append(parse_entry(host))
         except UNREADABLE as error:
             unreadable.append(repr(error))
-    if unreadable and not entries and scope is Scope.FULL:
+    if unreadable and not entries and scope is UpdateScope.FULL:
         raise ListError(f"unreadable list: {unreadable[0]}")
     return ServerList(seq, scope, entries, unreadable)
 
 
-def parse_list(doc: Any) -> tuple[int, Scope, list[Instance]]:
+def parse_list(doc: Any) -> tuple[int, UpdateScope, list[Endpoint]]:
     """The version, the scope and the entries of a list that has to be readable in every entry."""
     told = read_list(doc)
     if told.unreadable:
@@ -162,7 +170,7 @@
                 failures, self.failed = 0, self.failed + 1
                 await pause(self.exchange.after, AGAIN_US)
         self._answered.set()
-        self.exchange.list_instances(Scope.FAILED, ())
+        self.exchange.list_instances(UpdateScope.FAILED, ())
 
     def _just_moved(self) -> bool:
         """Guards against a new address that opens late: the module would ask again only seconds on."""
@@ -207,7 +215,7 @@
         With a lower version it may be stale, or discovery's versions have begun anew: what has changed by
         another count is not known. An entry that cannot be read may be spoilt on the way.
         """
-        if self._in_doubt and told.scope is Scope.FULL:
+        if self._in_doubt and told.scope is UpdateScope.FULL:
             return False
         if told.seq < self.seq:
             reason = f"version {told.seq} after {self.seq}"
--- a/rowanrack/fronts/platform/inbox.py
+++ b/rowanrack/fronts/platform/inbox.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Mapping, Sequence
 
-from rowanrack.core.messages import Attempt, Ending, Verdict
+from rowanrack.core.messages import Attempt, CallVerdict, Ending
 from rowanrack.fronts.platform import bulk
 from rowanrack.net.http import Call, Reply
 from rowanspindle import Result
@@ -13,12 +13,12 @@
 WAIT_MOST_MS = 3_600_000  # a longer wait outlives every message that is held
 SINGLY_MOST = 256  # instances remembered as taking no bulk; names are ever new
 STATES = {
-    "ok": Verdict(Result.OK),
-    "error": Verdict(Result.ERROR),
-    "later": Verdict(Result.FULL),
-    "gone": Verdict(Result.MOOT, end=Ending.OVER),
-    "exhausted": Verdict(Result.MOOT),
-    "": Verdict(Result.ERROR),  # not told, or not clearly: it may have run
+    "ok": CallVerdict(Result.OK),
+    "error": CallVerdict(Result.ERROR),
+    "later": CallVerdict(Result.FULL),
+    "gone": CallVerdict(Result.MOOT, end=Ending.OVER),
+    "exhausted": CallVerdict(Result.MOOT),
+    "": CallVerdict(Result.ERROR),  # not told, or not clearly: it may have run
 }
 
 
@@ -54,7 +54,7 @@
 
     def part(self, waiting: Sequence[Attempt]) -> int:
         """As many as one body holds; one where the instance has turned a bulk down unread."""
-        if waiting[0].instance.name in self._singly:
+        if waiting[0].endpoint.name in self._singly:
             return 1
         return bulk.fit([e.message for e in waiting])
 
@@ -70,47 +70,47 @@
             headers.append(("Idempotency-Key", message.key))
         return Call("POST", "/inbox", tuple(headers), message.body)
 
-    def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[Verdict]:
+    def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
         """What the answer says of each. A wait and a report hold for all, whatever each one's state."""
         wait = wait_us(reply.headers)
         left, limit = report(reply.headers, self._reports) if self._reports else (None, None)
         found = [self._verdict(reply)] if len(part) == 1 else self._bulk_verdicts(part, reply)
         if len(part) == 1 and reply.status != 429:
             wait = 0  # on a single call only 429 tells one
-        return [Verdict(v.result, wait, v.end, left, limit) for v in found]
+        return [CallVerdict(v.result, wait, v.end, left, limit) for v in found]
 
     @staticmethod
-    def _verdict(reply: Reply) -> Verdict:
+    def _verdict(reply: Reply) -> CallVerdict:
         """The table of outcomes in the protocol."""
         match reply.status:
             case 200:
-                return Verdict(Result.OK)
+                return CallVerdict(Result.OK)
             case 429:
-                return Verdict(Result.FULL)
+                return CallVerdict(Result.FULL)
             case 503 if reply.headers.get("x-no-slot") == "1":
-                return Verdict(Result.MOOT)
+                return CallVerdict(Result.MOOT)
             case 503:
-                return Verdict(Result.FULL)
+                return CallVerdict(Result.FULL)
             case 504:
-                return Verdict(Result.MOOT)
+                return CallVerdict(Result.MOOT)
             case 410:
-                return Verdict(Result.MOOT, end=Ending.OVER)
+                return CallVerdict(Result.MOOT, end=Ending.OVER)
             case _:
-                return Verdict(Result.ERROR)
+                return CallVerdict(Result.ERROR)
 
-    def _bulk_verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[Verdict]:
+    def _bulk_verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
         match reply.status:
             case 200 if reply.whole:
                 return [STATES[s] for s in bulk.states(reply.body, [e.message.id for e in part])]
             case 200:
-                return [Verdict(Result.RESET)] * len(part)  # cut behind its first line: any may have run
+                return [CallVerdict(Result.RESET)] * len(part)  # cut behind its first line: any may have run
             case 400 | 413:
                 # None has run. One of them may be the cause, so they go singly from now on.
-                self._singly[part[0].instance.name] = None
+                self._singly[part[0].endpoint.name] = None
                 if len(self._singly) > SINGLY_MOST:
                     del self._singly[next(iter(self._singly))]
-                return [Verdict(Result.MOOT)] * len(part)
+                return [CallVerdict(Result.MOOT)] * len(part)
             case 429 | 503:
                 return [self._verdict(reply)] * len(part)
             case _:
-                return [Verdict(Result.ERROR)] * len(part)
+                return [CallVerdict(Result.ERROR)] * len(part)
--- a/rowanrack/lab/checker.py
+++ b/rowanrack/lab/checker.py
@@ -14,7 +14,7 @@
 
 from rowanrack.lab.books import Entry
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 END_SLACK_US = 1_000_000  # past a message's time: its end may come so late, on a busy machine
 AFTER_US = 2_500_000  # behind a trouble of its sender no end is overdue for so long
 DRAIN_US = 500_000
@@ -79,7 +79,11 @@
     """Judges a run whose books go on until every message's time was up."""
 
     def __init__(
-        self, entries: Sequence[Entry], once: frozenset[str], fall_us: int = 2 * SECOND, covered: bool = False
+        self,
+        entries: Sequence[Entry],
+        once: frozenset[str],
+        fall_us: int = 2 * SECOND_US,
+        covered: bool = False,
     ) -> None:
         self.entries, self.once, self.fall_us, self.covered = entries, once, fall_us, covered
         self.troubles = Troubles(entries)
@@ -198,7 +202,7 @@
         if not ends and due < NEVER:
             self._breach("lost", known.due_us, message, f"{who} took it and gave it no end")
         elif ends and min(ends) > due:
-            late_s = (min(ends) - known.due_us) / SECOND
+            late_s = (min(ends) - known.due_us) / SECOND_US
             self._breach("late", min(ends), message, f"{who} took it, and its end came {late_s:.2f} s late")
 
 
@@ -238,7 +242,7 @@
     for place, counts in sorted(by_place.items()):
         mean = sum(counts) / steps
         found[place] = {
-            "calls_per_s": round(mean * SECOND / STEP_US, 2),
+            "calls_per_s": round(mean * SECOND_US / STEP_US, 2),
             "peak_over_mean": round(max(counts) / mean, 2),
             "least_over_mean": round(min(counts) / mean, 2),
         }
--- a/rowanrack/lab/figures.py
+++ b/rowanrack/lab/figures.py
@@ -12,16 +12,16 @@
 
 from rowanrack.channels.events import DELIVERED, FAILED, REFUSED
 from rowanrack.lab.books import Entry, Page
-from rowanrack.lab.checker import NEVER, SECOND
+from rowanrack.lab.checker import NEVER, SECOND_US
 from rowanrack.lab.log_rules import LogChecker, misses
 from rowanrack.model import spread as model_spread
 
-PHASE_US = 30 * SECOND
-BEHIND_US = 2 * SECOND  # for so long what comes at an endpoint is put down to what was before
+PHASE_US = 30 * SECOND_US
+BEHIND_US = 2 * SECOND_US  # for so long what comes at an endpoint is put down to what was before
 DRAWS = 100  # of calls by lot
 RESTARTS = 3  # senders that start within that time: a mass restart
 MARKS = frozenset({"down", "up", "fault", "over", "detach", "attach", "layout", "state"})
-WIDTHS = {"100 ms": SECOND // 10, "1 s": SECOND}
+WIDTHS = {"100 ms": SECOND_US // 10, "1 s": SECOND_US}
 
 
 def run_span(entries: Sequence[Entry]) -> tuple[int, int]:
@@ -88,7 +88,7 @@
             peak, low = by_lot(sum(counts.values()), list(counts))
             new = count_in(opened.get(dest, ()), since, until) / sum(every.values())
             found.append(
-                {"from_s": (since - begin) // SECOND, "dest": dest, "calls": sum(every.values())}
+                {"from_s": (since - begin) // SECOND_US, "dest": dest, "calls": sum(every.values())}
                 | {"endpoints": len(counts), "away": away}
                 | {"peak": round(counts[most] / even, 2), "peak_at": most}
                 | {"least": round(counts[least] / even, 2), "least_at": least}
@@ -178,7 +178,7 @@
                 ratio = count / (mean * width)
                 if key not in worst or ratio > worst[key]["over_mean"]:
                     worst[key] = {"behind": key[0], "in": name, "calls": count, "over_mean": ratio}
-                    worst[key] |= {"at": place, "at_s": (at - begin) / SECOND, "by_chance": chance}
+                    worst[key] |= {"at": place, "at_s": (at - begin) / SECOND_US, "by_chance": chance}
     rows = [row | {key: round(row[key], 1) for key in ("over_mean", "at_s")} for row in worst.values()]
     return sorted(rows, key=lambda row: (row["in"], row["behind"]))
 
@@ -278,9 +278,9 @@
                 if idle and any(other != place for other in held):
                     self._since.setdefault((what, place), at)
                 elif (since := self._since.pop((what, place), at)) < at and since >= begin:
-                    took = round((at - since) / SECOND, 3)
+                    took = round((at - since) / SECOND_US, 3)
                     if took > self.worst.get(what, {"s": 0})["s"]:
-                        at_s = round((since - begin) / SECOND, 1)
+                        at_s = round((since - begin) / SECOND_US, 1)
                         self.worst[what] = {"s": took, "at": place, "at_s": at_s}
 
 
@@ -305,7 +305,7 @@
             and not misses(p, "what others wrote")
         ]  # fmt: skip
         if good:
-            settled[channel] = round((min(good) - asked) / SECOND, 2)
+            settled[channel] = round((min(good) - asked) / SECOND_US, 2)
     reads = [page for page in pages if page.why == "run"]
     lags = sorted(late for _, _, late in looks(entries, pages))
     why = Counter(each for page in reads for each in {reason(one) for one in page.missing})
@@ -356,19 +356,19 @@
     later = [e for e in entries if e.place == said.place and e.at > said.at]
     until = min((e.at for e in later if e.what == "attach"), default=1 << 62)
     calls = [e.at for e in later if e.what == "call" and e.at < until]
-    return round((max(calls, default=said.at) - said.at) / SECOND, 2)
+    return round((max(calls, default=said.at) - said.at) / SECOND_US, 2)
 
 
 def series(entries: Sequence[Entry], pages: Sequence[Page], slo_us: Mapping[str, int]) -> dict[str, Any]:
     """What a plot shows: by second from the first message on; times in seconds."""
     begin, end = run_span(entries)
-    steps = (end - begin) // SECOND + 1
+    steps = (end - begin) // SECOND_US + 1
     calls: dict[str, list[int]] = {place: [0] * steps for place in places_of(entries)}
     handed, good = [0] * steps, [0] * steps
     ran = {e.message: e.at for e in reversed(entries) if e.what == "ran"}
     marks = []
     for entry in entries:
-        step = (entry.at - begin) // SECOND
+        step = (entry.at - begin) // SECOND_US
         if entry.what == "submit":
             handed[step] += 1
             good[step] += ran.get(entry.message, 1 << 62) - entry.at <= slo_us.get(entry.note, 0)
@@ -376,10 +376,10 @@
             calls[entry.place][step] += 1
         elif entry.what in MARKS and step >= 0:
             who = entry.place if entry.what in ("detach", "attach") else entry.who or entry.place
-            row: list[Any] = [round((entry.at - begin) / SECOND, 2), entry.what, who]
+            row: list[Any] = [round((entry.at - begin) / SECOND_US, 2), entry.what, who]
             marks.append([*row, entry.note])
     lag = [
-        [round((at - begin) / SECOND, 2), channel, round(late / SECOND, 2)]
+        [round((at - begin) / SECOND_US, 2), channel, round(late / SECOND_US, 2)]
         for at, channel, late in looks(entries, pages)
     ]
     return {"calls": calls, "handed_in": handed, "in_time": good, "marks": marks, "lag": lag}
--- a/rowanrack/lab/log_rules.py
+++ b/rowanrack/lab/log_rules.py
@@ -17,7 +17,7 @@
 
 from rowanrack.channels.events import BEGUN, DELIVERED, FAILED, LOST, REFUSED, TAKEN
 from rowanrack.lab.books import Entry, Page
-from rowanrack.lab.checker import NEVER, SECOND, UNDER_WAY_US, Breach, Troubles
+from rowanrack.lab.checker import NEVER, SECOND_US, UNDER_WAY_US, Breach, Troubles
 
 NOTED_US = 1_500_000  # before a kill: what waited in memory is lost, and that is a second at most
 STAMPED_US = 2_000_000  # by so much a book's time and the event's may differ
@@ -87,7 +87,9 @@
 class LogChecker:
     """Judges the log of a run. `heard_us`: behind which a detach must have been heard of."""
 
-    def __init__(self, entries: Sequence[Entry], pages: Sequence[Page], heard_us: int = 10 * SECOND) -> None:
+    def __init__(
+        self, entries: Sequence[Entry], pages: Sequence[Page], heard_us: int = 10 * SECOND_US
+    ) -> None:
         self.entries, self.pages, self.heard_us = entries, pages, heard_us
         self.troubles = Troubles(entries)
         self.orders = orders(pages)
@@ -257,7 +259,7 @@
             self._breach("whole", page.at, "", f"{page.who}, channel {page.channel}: {text}")
 
         if page.status != 200:
-            if not page.status and not self.troubles.within(page.who, page.at - 12 * SECOND, page.at):
+            if not page.status and not self.troubles.within(page.who, page.at - 12 * SECOND_US, page.at):
                 bad(f"no answer to a read: {page.text}")
             elif page.status and not page.text:
                 bad(f"{page.status} without a word")
@@ -315,7 +317,7 @@
                 said = since[entry.place]
                 due = self._heard(said.who, said.at, self._heard(entry.who, said.at, said.at + self.heard_us))
                 if entry.at > due:
-                    late_s = (entry.at - said.at) / SECOND
+                    late_s = (entry.at - said.at) / SECOND_US
                     text = f"{entry.who} called {entry.place} {late_s:.1f} s after {said.who} detached it"
                     self._breach("detach", entry.at, entry.message, text)
 
--- a/rowanrack/lab/partners.py
+++ b/rowanrack/lab/partners.py
@@ -18,7 +18,7 @@
 from rowanrack.net.http import Reply, Request
 from rowanrack.net.stream import Stream
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 class Figures(msgspec.Struct, frozen=True, kw_only=True):
@@ -53,12 +53,12 @@
     def take(self, now: int) -> int:
         """0 if a call is within the limit, else the microseconds until there is room."""
         rate = self.figures.rate
-        self.tokens = min(self.most, self.tokens + rate * (now - self.filled_at) / SECOND)
+        self.tokens = min(self.most, self.tokens + rate * (now - self.filled_at) / SECOND_US)
         self.filled_at = now
         if self.tokens >= 1:
             self.tokens -= 1
             return 0
-        return int((1 - self.tokens) / rate * SECOND)
+        return int((1 - self.tokens) / rate * SECOND_US)
 
 
 class Endpoint(HttpServer):
--- a/rowanrack/lab/plan.py
+++ b/rowanrack/lab/plan.py
@@ -9,7 +9,7 @@
 
 from rowanrack.lab.scenario import DETACH, LINK, PLACE, Channels, Fault, Scenario
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 class Arrival(msgspec.Struct, frozen=True):
@@ -81,15 +81,15 @@
     hit = {part for move in plan.moves for part in move.on.split(">")}
     well = [name for name in scenario.sender_names if name not in hit] or scenario.sender_names
     layouts = [
-        Announce(int(new.at_s * SECOND), new.on or rng.choice(well), int(new.ahead_s * SECOND),
+        Announce(int(new.at_s * SECOND_US), new.on or rng.choice(well), int(new.ahead_s * SECOND_US),
                  [name for name in scenario.sender_names if name not in new.drop])
         for new in channels.layout
     ]  # fmt: skip
     reads: list[ReadAt] = []
     for one in channels.read:
-        as_ofs: list[int | None] = [int(t * SECOND) for t in one.as_of_s]
+        as_ofs: list[int | None] = [int(t * SECOND_US) for t in one.as_of_s]
         reads += [
-            ReadAt(int(one.at_s * SECOND), on, scenario.channel_names[name], as_of, one.limit)
+            ReadAt(int(one.at_s * SECOND_US), on, scenario.channel_names[name], as_of, one.limit)
             for on in one.at or [rng.choice(well)]
             for name in one.of or list(scenario.channel_names)
             for as_of in as_ofs or [None]
@@ -112,7 +112,7 @@
             first = rng.choices(names, parts)[0]
             order = (first, *(name for name in order if name != first))[: len(order)]
         given = f"m{len(found):06d}", grade.name, dest, grade.deadline_ms, order
-        found.append(Arrival(int(at_s * SECOND), *given))
+        found.append(Arrival(int(at_s * SECOND_US), *given))
         at_s += rng.expovariate(scenario.rate)
     return found
 
@@ -125,9 +125,9 @@
     found: list[Move] = []
     for fault in scenario.fault:
         on = fault.on or chosen(fault, senders, places)
-        found.append(Move(int(fault.at_s * SECOND), fault.what, on, fault.by, True))
+        found.append(Move(int(fault.at_s * SECOND_US), fault.what, on, fault.by, True))
         if fault.for_s:
-            found.append(Move(int((fault.at_s + fault.for_s) * SECOND), fault.what, on, fault.by, False))
+            found.append(Move(int((fault.at_s + fault.for_s) * SECOND_US), fault.what, on, fault.by, False))
     return sorted(found, key=lambda move: move.at_us)
 
 
--- a/rowanrack/load/governor.py
+++ b/rowanrack/load/load_shedder.py
@@ -37,7 +37,7 @@
     HARD = 2  # new messages too: a share of them, which follows from how late it is
 
 
-class Governor:
+class LoadShedder:
     """Keeps the level, from spans of what it is told. All times are whole microseconds on one clock."""
 
     def __init__(self, now_us: int = 0) -> None:
@@ -57,7 +57,7 @@
         self._level_since = now_us
         self.refused = 0  # messages refused early since the level was last calm
 
-    def ran(self, now_us: int, late_us: int) -> None:
+    def record_delay(self, now_us: int, late_us: int) -> None:
         """A round ran, or a turn of the loop ended, later than it was due by so much."""
         self._lates.append(max(0, late_us))
         if now_us - self._began_us >= SPAN_US:
--- a/rowanrack/load/metered.py
+++ b/rowanrack/load/metered.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Metered:
+class CpuMeteredCoroutine:
     """Awaits a coroutine and tells the thread's processor time of each of its steps, in microseconds.
 
     A step is what runs between two waits: what a connection costs the loop, whatever it waits for. By the
--- a/rowanrack/model/calibrate.py
+++ b/rowanrack/model/calibrate.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from rowanrack.model.engine import SECOND
+from rowanrack.model.engine import SECOND_US
 from rowanrack.model.partner import Figures, Limit
 from rowanrack.model.recorded import KIND, CallSeen, Timeline, finished, items_of
 from rowanrack.model.scenario import Scenario
 from rowanrack.model.worth import service
 
-WINDOWS_US = (500_000, 1 * SECOND, 2 * SECOND, 5 * SECOND, 10 * SECOND)
+WINDOWS_US = (500_000, 1 * SECOND_US, 2 * SECOND_US, 5 * SECOND_US, 10 * SECOND_US)
 STEPS = 7  # rates tried to each side of a middle one
 COARSE, FINE = 1.15, 1.02  # factors between them, in two passes
 REFINED = 4  # shapes that are looked at closely
@@ -76,7 +76,7 @@
 
 def seconds_taken(calls: Iterable[tuple[int, bool]]) -> Counter[int]:
     """How many of the calls (when, refused) were taken, second by second."""
-    return Counter(at // SECOND for at, refused in calls if not refused)
+    return Counter(at // SECOND_US for at, refused in calls if not refused)
 
 
 def replay(
@@ -102,7 +102,7 @@
     if not refused:
         return None
     seen = seconds_taken(calls)
-    span_s = max(1.0, (calls[-1][0] - calls[0][0]) / SECOND)
+    span_s = max(1.0, (calls[-1][0] - calls[0][0]) / SECOND_US)
     middle = max(0.3, seen.total() / span_s)
 
     def best_of(shape: tuple[str, int, bool], rates: Iterable[float]) -> LimitFit:
@@ -111,7 +111,7 @@
                  for r in rates)  # fmt: skip
         return min(tried, key=lambda one: one.wrong)
 
-    windows = [("rate", SECOND), *(("window", w) for w in WINDOWS_US)]
+    windows = [("rate", SECOND_US), *(("window", w) for w in WINDOWS_US)]
     shapes = [(kind, window, counts) for counts in (False, True) for kind, window in windows]
     coarse = [best_of(s, (middle * COARSE**n for n in range(-STEPS, STEPS + 1))) for s in shapes]
     chosen: LimitFit | None = None
@@ -125,7 +125,7 @@
             chosen = fine
     assert chosen is not None
     if listed > 0:
-        told = best_of(("rate", SECOND, False), (listed,))
+        told = best_of(("rate", SECOND_US, False), (listed,))
         # No limit at all would be wrong about each refusal.
         if told.wrong < refused and told.wrong <= chosen.wrong + 1 + len(calls) // PLAIN:
             return told
@@ -187,7 +187,7 @@
     seconds: dict[int, list[float]] = {}
     for call in calls:
         if call.result == "ok":
-            seconds.setdefault(call.at_us // SECOND, []).append(call.over_us - call.at_us)
+            seconds.setdefault(call.at_us // SECOND_US, []).append(call.over_us - call.at_us)
     times = {s: statistics.median(v) / usual_us for s, v in seconds.items() if len(v) >= SLOW_CALLS}
     found: list[tuple[int, int, float]] = []
     for second in sorted(times):
@@ -257,7 +257,7 @@
     """The calibrated fleet as a scenario, which a reader may change."""
     begins, day_s = (
         found.begins[0],
-        max(1, math.ceil(max((a.at_us for a in finished(found)), default=0) / SECOND)),
+        max(1, math.ceil(max((a.at_us for a in finished(found)), default=0) / SECOND_US)),
     )
     arrivals = finished(found)
     lines = [
@@ -295,10 +295,10 @@
         ends = [o.at_us + o.for_us for o in failed]
         for second, length, factor in one.slow:
             # A place that comes back is cold in the model of itself.
-            if any(-SECOND <= second * SECOND - end <= begins.ramp_us for end in ends):
+            if any(-SECOND_US <= second * SECOND_US - end <= begins.ramp_us for end in ends):
                 continue
             what = f"at {second} s for {length} s partner {number} slow {factor:.2f}"
-            events.append((second * SECOND, what))
+            events.append((second * SECOND_US, what))
     lines.append(f"traffic {len(arrivals) / day_s:.3f}/s")
     return "\n".join([*lines, *(text for _, text in sorted(events))]) + "\n"
 
--- a/rowanrack/model/calls.py
+++ b/rowanrack/model/calls.py
@@ -1,10 +1,10 @@
-"""A sender's side towards places, the exchange's `InstanceSide`: connections, one call at a time on each."""
+"""A sender's side towards places, the exchange's `EndpointCalls`: connections, one call at a time on each."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from rowanrack.core.messages import Attempt, Batch, Progress, Verdict
+from rowanrack.core.messages import Attempt, Batch, CallVerdict, Progress
 from rowanrack.model.history import Entry
 from rowanrack.model.partner import Answer, Place, State, Visit
 from rowanspindle import Result
@@ -48,7 +48,7 @@
 
     def _start(self, attempt: Attempt) -> None:
         """Make the call, on an idle connection or a new one."""
-        place = self.sender.places[attempt.instance.name]
+        place = self.sender.places[attempt.endpoint.name]
         waiting = self.idle.get(place.name, [])
         while waiting:
             line = waiting.pop()
@@ -71,7 +71,7 @@
         if line is not None:
             line.close()
         if visit is not None:
-            place, seen = self.sender.places[attempt.instance.name], visit
+            place, seen = self.sender.places[attempt.endpoint.name], visit
             self.engine.after(self._one_way(place), lambda: self._gone(seen))
 
     def progress(self, batch: Batch) -> Progress:
@@ -130,7 +130,15 @@
             return
         message = attempt.message
         sender.history.add(
-            Entry(self.engine.now, "begin", sender.number, message.id, attempt.leg, place.name, message.dest)
+            Entry(
+                self.engine.now,
+                "begin",
+                sender.number,
+                message.id,
+                attempt.attempt_number,
+                place.name,
+                message.dest,
+            )
         )
         self.crossings += place.zone != sender.zone
         life = sender.life
@@ -142,7 +150,7 @@
 
             self.engine.after(self._one_way(place), arrive)
 
-        visit = Visit(sender.number, message.id, attempt.leg, answer)
+        visit = Visit(sender.number, message.id, attempt.attempt_number, answer)
         self.out[attempt] = line, visit
 
         def come() -> None:
@@ -162,7 +170,7 @@
             line.close()
         else:
             self._keep(line)
-        self.sender.exchange.settle(attempt, Verdict(RESULTS[answer.status], answer.wait_us))
+        self.sender.exchange.settle(attempt, CallVerdict(RESULTS[answer.status], answer.wait_us))
 
     def _gone(self, visit: Visit) -> None:
         visit.gone = True
--- a/rowanrack/model/clients.py
+++ b/rowanrack/model/clients.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from rowanrack.core.messages import End, Ending, Message
-from rowanrack.model.engine import SECOND, Engine, chance
+from rowanrack.model.engine import SECOND_US, Engine, chance
 from rowanrack.model.history import Entry, History
 from rowanrack.model.scenario import Scenario
 from rowanrack.model.sender import FRONT, UNIX_US, Sender
@@ -60,7 +60,7 @@
     holds shares.
     """
     rng, dests = chance(seed, "traffic"), sorted(rates)
-    middle = sum(scenario.clump_us) / 2 / SECOND
+    middle = sum(scenario.clump_us) / 2 / SECOND_US
     size = max(2.0, sum(base[d] * rates[d] for d in dests) * middle)  # of a clump, in the mean
     clump = scenario.clumps / (size - scenario.clumps * size + scenario.clumps)
     wanted = scenario.rate / (clump * size + 1 - clump)  # draws a second, each a message or a clump
@@ -71,7 +71,7 @@
     at = 0.0
     weights = [base[dest] for dest in dests]
     while wanted > 0:
-        at += rng.expovariate(most) * SECOND
+        at += rng.expovariate(most) * SECOND_US
         draw, which, extra = rng.random(), rng.random(), rng.random()
         if at >= scenario.day_us:
             break
@@ -88,7 +88,7 @@
             dest = rng.choices(dests, weights)[0]
         if rng.random() < clump:
             low, high = scenario.clump_us
-            count = max(2, round(rates[dest] * (low + (high - low) * rng.random()) / SECOND))
+            count = max(2, round(rates[dest] * (low + (high - low) * rng.random()) / SECOND_US))
             found += [(int(at + CLUMP_US * rng.random()), dest) for _ in range(count)]
         else:
             found.append((int(at), dest))
@@ -129,7 +129,7 @@
     for item in items:
         if (quota := quotas.get(item.member)) is None:
             continue
-        have = min(2 * quota, tokens[item.member] + quota * (item.at_us - filled[item.member]) / SECOND)
+        have = min(2 * quota, tokens[item.member] + quota * (item.at_us - filled[item.member]) / SECOND_US)
         filled[item.member] = item.at_us
         item.within = have >= 1
         tokens[item.member] = have - item.within
--- a/rowanrack/model/discovery.py
+++ b/rowanrack/model/discovery.py
@@ -6,10 +6,10 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from rowanrack.core.messages import Instance
+from rowanrack.core.messages import Endpoint
 from rowanrack.model.engine import Engine
 from rowanrack.model.history import Entry, History
-from rowanspindle import Scope, Status
+from rowanspindle import EndpointStatus, UpdateScope
 
 if TYPE_CHECKING:
     from rowanrack.model.sender import Sender
@@ -22,16 +22,16 @@
 
     def __init__(self, engine: Engine, history: History, lag_us: tuple[int, int], rng: Random) -> None:
         self.engine, self.history, self.lag_us, self.rng = engine, history, lag_us, rng
-        self.listed: dict[str, Instance] = {}
-        self.changes: list[Instance] = []  # in the order of versions
+        self.listed: dict[str, Endpoint] = {}
+        self.changes: list[Endpoint] = []  # in the order of versions
         self.down = False
         self._watching: dict[Sender, object] = {}  # with the life that asked
         self._sent: dict[Sender, int] = {}  # the version that is on its way to each
         self._free: dict[Sender, int] = {}  # when the last news reaches it
 
-    def change(self, instance: Instance) -> None:
+    def change(self, instance: Endpoint) -> None:
         """A new version."""
-        if instance.status is Status.REMOVED:
+        if instance.status is EndpointStatus.REMOVED:
             self.listed.pop(instance.name, None)
         else:
             self.listed[instance.name] = instance
@@ -39,14 +39,14 @@
         for sender in list(self._watching):
             self._tell(sender)
 
-    def set_status(self, name: str, status: Status) -> None:
+    def set_status(self, name: str, status: EndpointStatus) -> None:
         """An instance drains, or goes."""
         if name in self.listed:
             self.change(replace(self.listed[name], status=status))
 
     def start(self, sender: Sender, life: object) -> None:
         """What a sender's configuration holds at its start: the list as it stands."""
-        sender.exchange.list_instances(Scope.FULL, list(self.listed.values()))
+        sender.exchange.list_instances(UpdateScope.FULL, list(self.listed.values()))
         self._sent[sender] = len(self.changes)
         self._watching.pop(sender, None)
         assert life is sender.life
@@ -69,7 +69,7 @@
     def _fail(self, sender: Sender, life: object) -> None:
         self._watching.pop(sender, None)
         if sender.life is life:
-            sender.exchange.list_instances(Scope.FAILED, ())
+            sender.exchange.list_instances(UpdateScope.FAILED, ())
 
     def _tell(self, sender: Sender) -> None:
         life, low, high = self._watching[sender], *self.lag_us
@@ -81,8 +81,8 @@
             if sender.life is not life:
                 return
             for instance in news:
-                if instance.status is not Status.LISTED:
+                if instance.status is not EndpointStatus.LISTED:
                     self.history.add(Entry(self.engine.now, "told", sender.number, place=instance.name))
-            sender.exchange.list_instances(Scope.DELTA, news)
+            sender.exchange.list_instances(UpdateScope.DELTA, news)
 
         self.engine.at(due, arrive)
--- a/rowanrack/model/engine.py
+++ b/rowanrack/model/engine.py
@@ -9,7 +9,7 @@
 
 from rowanrack.core.wheel import WheelTimer
 
-SECOND = 1_000_000  # microseconds
+SECOND_US = 1_000_000
 
 
 class RunawayError(Exception):
@@ -43,7 +43,7 @@
             if (action := timer.action) is not None:
                 self.steps += 1
                 if self.steps > self.most_steps:
-                    raise RunawayError(f"over {self.most_steps} steps by {self.now / SECOND:.3f} s")
+                    raise RunawayError(f"over {self.most_steps} steps by {self.now / SECOND_US:.3f} s")
                 action()
         self.now = until_us
 
--- a/rowanrack/model/partner.py
+++ b/rowanrack/model/partner.py
@@ -12,12 +12,12 @@
 from enum import Enum
 from random import Random
 
-from rowanrack.model.engine import SECOND, Engine
+from rowanrack.model.engine import SECOND_US, Engine
 from rowanrack.model.history import Entry, History
 
 BURST_S = 1.0  # seconds of a plain rate that may come at once
 REFUSE_US = 2000.0  # that a refusal takes
-FALLEN_US = 10 * SECOND  # for which one that was pushed over stays down
+FALLEN_US = 10 * SECOND_US  # for which one that was pushed over stays down
 SLACK = 3  # calls by chance in the window in which a cold place may be pushed over
 
 
@@ -83,18 +83,18 @@
             span = now // figures.window_us
             if span != self.span:
                 self.span, self.count = span, 0
-            allowed = max(1, int(figures.rate * figures.window_us / SECOND))
+            allowed = max(1, int(figures.rate * figures.window_us / SECOND_US))
             within = self.count < allowed
             self.count += within or figures.counts_refused
             return 0 if within else (span + 1) * figures.window_us - now
-        self.tokens = min(self.most(), self.tokens + figures.rate * (now - self.filled_at) / SECOND)
+        self.tokens = min(self.most(), self.tokens + figures.rate * (now - self.filled_at) / SECOND_US)
         self.filled_at = now
         if self.tokens >= 1:
             self.tokens -= 1
             return 0
         if figures.counts_refused:
             self.tokens = max(-self.most(), self.tokens - 1)
-        return math.ceil((1 - self.tokens) / figures.rate * SECOND)
+        return math.ceil((1 - self.tokens) / figures.rate * SECOND_US)
 
 
 class Visit:
@@ -204,7 +204,7 @@
         while self.lately[0][0] < engine.now - figures.fall_us:
             self.lately.popleft()
         bears = figures.overload * share * self.partner.capacity() / len(self.partner.places)
-        if len(self.lately) > bears * figures.fall_us / SECOND + SLACK:
+        if len(self.lately) > bears * figures.fall_us / SECOND_US + SLACK:
             knew = 100 * sum(who in self.saw for _, who in self.lately) // len(self.lately)
             self.partner.history.add(
                 Entry(engine.now, "fell", place=self.name, dest=self.partner.dest, value=knew)
@@ -255,4 +255,4 @@
 
     def capacity(self) -> float:
         """Calls a second that all its places can do when warm."""
-        return len(self.places) * self.figures.width * SECOND / self.figures.service_us
+        return len(self.places) * self.figures.width * SECOND_US / self.figures.service_us
--- a/rowanrack/model/rules.py
+++ b/rowanrack/model/rules.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from rowanrack.model.engine import SECOND
+from rowanrack.model.engine import SECOND_US
 from rowanrack.model.history import Entry
 
 END_SLACK_US = 300_000  # past a message's time: its end may come so late
@@ -150,5 +150,5 @@
                 Breach("lost", known.due_us, message, f"sender {sender} took it and gave it no end")
             )
         elif known.ends[0][0] > due:
-            late = (known.ends[0][0] - known.due_us) / SECOND
+            late = (known.ends[0][0] - known.due_us) / SECOND_US
             self.breaches.append(Breach("lost", known.ends[0][0], message, f"its end came {late:.2f} s late"))
--- a/rowanrack/model/sender.py
+++ b/rowanrack/model/sender.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.core.messages import Attempt, End, Message, Refusal, Verdict
+from rowanrack.core.messages import Attempt, CallVerdict, End, Message, Refusal
 from rowanrack.core.wheel import WheelTimer
 from rowanrack.model.calls import Calls
 from rowanrack.model.discovery import Discovery
@@ -15,15 +15,15 @@
 from rowanrack.model.partner import Place
 from rowanrack.store.memory import MemoryStore, Shelf
 from rowanspindle import Outage, Result, Settings
-from rowanspindle.hearsay import Hearsay
-from rowanspindle.notes import Note, read
+from rowanspindle.gossip import Gossip
+from rowanspindle.notes import Note, decode_note
 
 FRONT = "model"
 NOTES_TO = 0  # others that each sender tells its notes, whatever the number of senders; 0: as the module does
 UNIX_US = 1_750_000_000_000_000  # Unix time at the start of a run: any will do
 
 
-class HearsayOfSome(Hearsay):
+class HearsayOfSome(Gossip):
     """A way that was counted: notes go to some others each, as if these were all that there are. The work of
     those that are not heard is taken to be like that of those that are."""
 
@@ -31,9 +31,9 @@
         super().__init__(replace(settings, replicas=some + 1))
         self.times = (settings.replicas - 1) / some
 
-    def crowd(self, dest: int, held: int, now: int, guess: float = 1.0) -> float | None:
+    def active_senders(self, dest: int, held: int, now: int, guess: float = 1.0) -> float | None:
         """As the module's, by the part that is heard."""
-        share = super().crowd(dest, held, now)
+        share = super().active_senders(dest, held, now)
         return share and 1 + (share - 1) * self.times
 
 
@@ -102,25 +102,25 @@
         store = MemoryStore(self.shelf, self.unix_us)
         self.exchange = Exchange(self.settings, seed, self, store, self.tick_us)
         if self.some:
-            self.exchange.forwarder.hearsay = HearsayOfSome(self.settings, self.some)
+            self.exchange.forwarder.gossip = HearsayOfSome(self.settings, self.some)
         # No round is late here. The governor takes 1.5 s without one for a full core, and a real sender's
         # listeners cause some each second.
-        self.exchange.governor.ran = lambda now_us, late_us: None  # type: ignore[method-assign]
+        self.exchange.load_shedder.record_delay = lambda now_us, late_us: None  # type: ignore[method-assign]
         self.calls = Calls(self)
         self.exchange.side = self.calls
         settle = self.exchange.settle
 
-        def settle_and_note(attempt: Attempt, verdict: Verdict | Result) -> None:
+        def settle_and_note(attempt: Attempt, verdict: CallVerdict | Result) -> None:
             if not attempt.settled:
-                known = Verdict(verdict) if isinstance(verdict, Result) else verdict
-                m, name = attempt.message, attempt.instance.name
+                known = CallVerdict(verdict) if isinstance(verdict, Result) else verdict
+                m, name = attempt.message, attempt.endpoint.name
                 self.history.add(
                     Entry(
                         self.engine.now,
                         "settle",
                         self.number,
                         m.id,
-                        attempt.leg,
+                        attempt.attempt_number,
                         name,
                         m.dest,
                         known.result.value,
@@ -168,7 +168,7 @@
     def hear(self, peer: int, data: bytes) -> None:
         """A note from another sender."""
         if self.alive:
-            self.exchange.heard(peer, read(data))
+            self.exchange.heard(peer, decode_note(data))
 
     # Clients.
 
--- a/rowanrack/model/spread.py
+++ b/rowanrack/model/spread.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from rowanrack.model.engine import SECOND, chance
-from rowanspindle import Status
+from rowanrack.model.engine import SECOND_US, chance
+from rowanspindle import EndpointStatus
 
 if TYPE_CHECKING:
     from rowanrack.model.world import World
@@ -39,7 +39,7 @@
     def _look(self, number: int) -> None:
         self._seen[number] = {n: (p.opened, p.turned_away) for n, p in self.world.places.items()}
         listed = self.world.discovery.listed.values()
-        self._listed[number] = [i.name for i in listed if i.status is Status.LISTED]
+        self._listed[number] = [i.name for i in listed if i.status is EndpointStatus.LISTED]
 
     def counted(self) -> list[dict[str, Any]]:
         """For each phase (in seconds) and partner: calls, the peak and the least over an even part, the same
@@ -56,7 +56,7 @@
                 rng = chance(world.seed, "by chance", number, dest)
                 lots = by_chance(rng, sum(calls[name] for name in listed), listed)
                 opened, away = (sum(after[n][k] - before[n][k] for n in names) for k in (0, 1))
-                row = {"phase": [begins / SECOND, ends / SECOND], "kind": partner.kind, "dest": dest}
+                row = {"phase": [begins / SECOND_US, ends / SECOND_US], "kind": partner.kind, "dest": dest}
                 row |= {"places": len(listed), "calls": count, "new": opened / max(1, count)}
                 row |= dict(zip(("peak", "least"), parts(calls, listed), strict=True))
                 row |= dict(zip(("chance_peak", "chance_least"), lots, strict=True))
--- a/rowanrack/model/worker.py
+++ b/rowanrack/model/worker.py
@@ -19,8 +19,8 @@
     "pacing": "rowanspindle.pacing",
     "slow_start": "rowanspindle.slow_start",
     "exchange": "rowanrack.core.exchange",
-    "governor": "rowanrack.load.governor",
-    "hearsay": "rowanspindle.hearsay",
+    "governor": "rowanrack.load.load_shedder",
+    "hearsay": "rowanspindle.gossip",
     "sender": "rowanrack.model.sender",
 }
 
--- a/rowanrack/model/world.py
+++ b/rowanrack/model/world.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from rowanrack.core.messages import Instance
+from rowanrack.core.messages import Endpoint
 from rowanrack.model.clients import Clients, arrivals, popularity
 from rowanrack.model.discovery import Discovery
-from rowanrack.model.engine import SECOND, Engine, chance
+from rowanrack.model.engine import SECOND_US, Engine, chance
 from rowanrack.model.history import Entry, History
 from rowanrack.model.network import Network
 from rowanrack.model.partner import Figures, Partner, Place, State
@@ -22,12 +22,12 @@
 from rowanrack.model.sender import Sender, told_by
 from rowanrack.model.spread import Spread
 from rowanrack.model.worth import service
-from rowanspindle import Effect, Kind, MessageClass, Settings, Status
-from rowanspindle.hearsay import PACKET
-from rowanspindle.notes import Note, write
+from rowanspindle import DestinationKind, Effect, EndpointStatus, MessageClass, Settings
+from rowanspindle.gossip import PRICED_PACKET_BYTES
+from rowanspindle.notes import Note, encode_note
 
-TAIL_US = 3 * SECOND  # past the last message's time
-RESTART_US = SECOND  # for which a sender that died is away, unless the scenario says for how long
+TAIL_US = 3 * SECOND_US  # past the last message's time
+RESTART_US = SECOND_US  # for which a sender that died is away, unless the scenario says for how long
 STEPS_EACH = 3_000  # for each message: a run that makes more goes round for ever
 STEPS_LEAST = 2_000_000
 BREACHES_SHOWN = 20
@@ -38,7 +38,7 @@
 
     def __init__(self, scenario: Scenario, seed: int, salt: int = 0, changes: Any = None) -> None:
         self.scenario, self.seed = scenario, seed
-        steps = int(STEPS_LEAST + STEPS_EACH * scenario.rate * scenario.day_us / SECOND)
+        steps = int(STEPS_LEAST + STEPS_EACH * scenario.rate * scenario.day_us / SECOND_US)
         self.engine, self.history = Engine(steps), History()
         self.network = Network(scenario.apart_us, scenario.jitter, chance(seed, "network"))
         self.partners: dict[int, Partner] = {}
@@ -84,7 +84,7 @@
 
     def _tell(self, sender: Sender, note: Note) -> None:
         """A note goes to every other sender, each late by its own time or not at all."""
-        data, (low, high) = write(note), self.scenario.notes_us
+        data, (low, high) = encode_note(note), self.scenario.notes_us
         count = len(self.senders)
         numbers = told_by(sender.number, count, sender.some) if sender.some else range(count)
         for other in map(self.senders.__getitem__, numbers):
@@ -109,7 +109,7 @@
         full = self.shares[dest] * scenario.rate / scenario.load  # its calls a second at full load
         rate = max(between(kind.rate), full * between(kind.headroom))
         service_us = between(kind.answers_us)
-        width = kind.width or max(2, math.ceil(1.4 * max(rate, full) * service_us / SECOND / count))
+        width = kind.width or max(2, math.ceil(1.4 * max(rate, full) * service_us / SECOND_US / count))
         figures = Figures(
             kind.limit, rate, kind.window_us, kind.told, kind.wait_us, kind.counts_refused, service_us,
             kind.spread, width, kind.queue, kind.connections, kind.handshake_us, kind.cold_share,
@@ -129,11 +129,11 @@
             told *= 1 + kind.rough * (2 * chance(self.seed, "listed", dest).random() - 1)
         told *= not kind.unlisted
         for place in partner.places:
-            self.discovery.listed[place.name] = Instance(
-                place.name, "model", 1, place.zone, kind.name, dest, Status.LISTED, told
+            self.discovery.listed[place.name] = Endpoint(
+                place.name, "model", 1, place.zone, kind.name, dest, EndpointStatus.LISTED, told
             )
 
-    def _to_join(self, event: Event) -> tuple[str, Instance]:
+    def _to_join(self, event: Event) -> tuple[str, Endpoint]:
         """Take a place off the list until it joins. Raises ValueError if there is none."""
         name = f"p{event.number}-{event.other}"
         if name not in self.discovery.listed:
@@ -159,7 +159,7 @@
             slots=scenario.slots,
             most_held=scenario.held,
             tenants={m.name: m.quota for m in scenario.members},
-            kinds={kind.name: Kind() for kind in scenario.kinds},
+            kinds={kind.name: DestinationKind() for kind in scenario.kinds},
             replicas=scenario.senders,
             peers=scenario.notes_us[1] > 0,
             peer_price=0.01,
@@ -168,9 +168,9 @@
             try_limit=scenario.tries,
             on_request=True,
             over_share_worth=0.05,
-            max_come_back_us=3 * SECOND,
-            keepalive_us=10 * SECOND,
-            connect_timeout_us=SECOND,
+            max_come_back_us=3 * SECOND_US,
+            keepalive_us=10 * SECOND_US,
+            connect_timeout_us=SECOND_US,
             streams_per_conn=1,
             cold_share=first.cold_share,
             ramp_us=first.ramp_us,
@@ -279,7 +279,7 @@
                 self.discovery.fail()
                 return self._discovery_up
             case "drains" | "leaves":
-                status = Status.DRAINING if event.what == "drains" else Status.REMOVED
+                status = EndpointStatus.DRAINING if event.what == "drains" else EndpointStatus.REMOVED
                 self.discovery.set_status(f"p{event.number}-{event.other}", status)
             case "joins":
                 self.discovery.change(self.joining.pop(f"p{event.number}-{event.other}"))
@@ -327,8 +327,8 @@
 
     def _notes(self) -> dict[str, float]:
         """Datagrams and bytes a second for each sender, and points for them at the settings' price."""
-        span = len(self.senders) * self.scenario.day_us / SECOND
-        price = self.senders[0].settings.peer_price / PACKET / max(1, len(self.clients.items))
+        span = len(self.senders) * self.scenario.day_us / SECOND_US
+        price = self.senders[0].settings.peer_price / PRICED_PACKET_BYTES / max(1, len(self.clients.items))
         return {
             "datagrams": self.notes / span,
             "bytes": self.note_bytes / span,
@@ -343,13 +343,13 @@
             if entry.what == "begin":
                 begun[entry.dest] = begun.get(entry.dest, 0) + 1
         busiest = sorted(begun, key=lambda d: (-begun[d], d))[:4]
-        seconds = self.scenario.day_us // SECOND + 1
+        seconds = self.scenario.day_us // SECOND_US + 1
         rates = {d: [0] * seconds for d in busiest}
         refused = {d: [0] * seconds for d in busiest}
         for entry in self.history.entries:
-            if entry.dest in rates and entry.at // SECOND < seconds:
-                rates[entry.dest][entry.at // SECOND] += entry.what == "begin"
-                refused[entry.dest][entry.at // SECOND] += entry.what == "settle" and entry.note == "full"
+            if entry.dest in rates and entry.at // SECOND_US < seconds:
+                rates[entry.dest][entry.at // SECOND_US] += entry.what == "begin"
+                refused[entry.dest][entry.at // SECOND_US] += entry.what == "settle" and entry.note == "full"
         limits = {d: [self.told_rate(self.partners[d]), self.partners[d].capacity()] for d in busiest}
         by_class = {
             cls.name: [i.delivered_us - i.at_us for i in self.clients.items
--- a/rowanrack/model/worth.py
+++ b/rowanrack/model/worth.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from rowanrack.model.clients import Item
-from rowanrack.model.engine import SECOND
+from rowanrack.model.engine import SECOND_US
 from rowanrack.model.scenario import Scenario
 
 WEIGHTS = {"whole": 0.4, "worst_window": 0.3, "worst_class": 0.2, "worst_member": 0.1}
-WINDOW_US = 10 * SECOND
+WINDOW_US = 10 * SECOND_US
 LEAST_ITEMS = 20  # in a window, a class or a member that may be the worst
 OVER_SHARE = 0.05  # worth of what lies beyond a member's quota
 PRICES = {"waste": 0.18, "crossing": 0.084, "handshake": 0.04, "late_fail": 0.028}
@@ -53,9 +53,9 @@
         classes.setdefault(scenario.classes[item.cls].name, []).append(worth)
         if item.within:
             members.setdefault(item.member, []).append(worth)
-        second = item.at_us // SECOND
-        for window in range(max(0, second - WINDOW_US // SECOND + 1), second + 1):
-            if (window * SECOND + WINDOW_US) <= max(scenario.day_us, WINDOW_US):
+        second = item.at_us // SECOND_US
+        for window in range(max(0, second - WINDOW_US // SECOND_US + 1), second + 1):
+            if (window * SECOND_US + WINDOW_US) <= max(scenario.day_us, WINDOW_US):
                 windows.setdefault(window, []).append(worth)
     parts = {
         "whole": whole,
@@ -125,7 +125,7 @@
 
 def by_second(items: list[Item], worths: list[tuple[float, float]], scenario: Scenario) -> list[float]:
     """The ratio for the items handed in within each second, for plots."""
-    seconds: list[list[tuple[float, float]]] = [[] for _ in range(scenario.day_us // SECOND + 1)]
+    seconds: list[list[tuple[float, float]]] = [[] for _ in range(scenario.day_us // SECOND_US + 1)]
     for item, worth in zip(items, worths, strict=True):
-        seconds[item.at_us // SECOND].append(worth)
+        seconds[item.at_us // SECOND_US].append(worth)
     return [round(ratio(second), 6) for second in seconds]
--- a/rowanrack/net/turns.py
+++ b/rowanrack/net/fair_scheduling.py
@@ -24,37 +24,37 @@
 Ready = list[tuple[selectors.SelectorKey, int]]
 
 
-class Rank(IntEnum):
+class ConnectionPriority(IntEnum):
     """Whose connection it is."""
 
-    OURS = 0  # to instances, discovery and the platform; listening ports; the console
+    INTERNAL = 0  # to instances, discovery and the platform; listening ports; the console
     CLIENT = 1
-    STRANGER = 2  # a client without a good request so far
+    NEW_CLIENT = 2  # a client without a good request so far
 
 
-class Keeper(Protocol):
-    """What `rowanrack.load.governor.Governor` knows of time."""
+class DelayMonitor(Protocol):
+    """What `rowanrack.load.load_shedder.LoadShedder` knows of time."""
 
-    def ran(self, now_us: int, late_us: int) -> None:
+    def record_delay(self, now_us: int, late_us: int) -> None:
         """Something ran so late."""
 
     def pace_us(self, now_us: int) -> int:
         """More than 0 while strangers use more than their share."""
 
 
-class Turns(selectors.EpollSelector):
+class FairSelector(selectors.EpollSelector):
     """A selector that knows the rank of each connection; one without a rank is ours."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.keeper: Keeper | None = None
-        self._ranks: dict[int, Rank] = {}
+        self.keeper: DelayMonitor | None = None
+        self._ranks: dict[int, ConnectionPriority] = {}
         self._used: dict[int, int] = {}  # by strangers, in steps
         self._since: dict[
             int, float
         ] = {}  # ready connections that were left for a later turn, and since when
 
-    def rank(self, descriptor: int, rank: Rank, used_us: float = 0.0) -> None:
+    def rank(self, descriptor: int, rank: ConnectionPriority, used_us: float = 0.0) -> None:
         """Set the rank of a connection and what it has used, until it is not watched any more."""
         self._ranks[descriptor] = rank
         self._used[descriptor] = int(used_us) // STEP_US
@@ -80,7 +80,7 @@
         strangers: Ready = []
         queues = (ours, clients, strangers)
         for item in ready:
-            queues[self._ranks.get(item[0].fd, Rank.OURS)].append(item)
+            queues[self._ranks.get(item[0].fd, ConnectionPriority.INTERNAL)].append(item)
         since, self._since = self._since, {}
         oldest = self._cut(clients, CLIENTS, since, now)
         pressing = (
@@ -92,7 +92,7 @@
         if not theirs:
             oldest = max(oldest, waited)
         if oldest and self.keeper is not None:
-            self.keeper.ran(int(now * 1e6), int(oldest * 1e6))
+            self.keeper.record_delay(int(now * 1e6), int(oldest * 1e6))
         return ours + clients + strangers
 
     def _cut(self, queue: Ready, most: int, since: dict[int, float], now: float) -> float:
@@ -109,10 +109,10 @@
     """asyncio's loop with such turns."""
 
     def __init__(self) -> None:
-        self.turns = Turns()
+        self.turns = FairSelector()
         super().__init__(self.turns)
 
 
-def turns_of(loop: asyncio.AbstractEventLoop) -> Turns | None:
+def fair_selector_of(loop: asyncio.AbstractEventLoop) -> FairSelector | None:
     """The turns of a loop; None for one that takes all as it comes."""
     return loop.turns if isinstance(loop, FairLoop) else None
--- a/rowanrack/net/listener.py
+++ b/rowanrack/net/listener.py
@@ -19,12 +19,12 @@
 from typing import Any
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.load.governor import Level
-from rowanrack.load.metered import Metered
+from rowanrack.load.load_shedder import Level
+from rowanrack.load.metered import CpuMeteredCoroutine
+from rowanrack.net.fair_scheduling import ConnectionPriority, FairSelector, fair_selector_of
 from rowanrack.net.rare_log import RareLog
 from rowanrack.net.stream import Stream, stream_protocol
 from rowanrack.net.timing import After, pause, time_limit
-from rowanrack.net.turns import Rank, Turns, turns_of
 
 log = logging.getLogger(__name__)
 
@@ -102,7 +102,7 @@
     def __init__(self, most: int, exchange: Exchange) -> None:
         self.most, self.exchange = most, exchange
         self.after: After = exchange.after
-        self.governor = exchange.governor
+        self.load_shedder = exchange.load_shedder
         self.streams: dict[Stream, tuple[State, int]] = {}  # each with the time; the latest change comes last
         self.draining = self._ended = False
         self.lame = False  # in lame duck: connections end after their answer, the port stays open
@@ -113,7 +113,7 @@
         self._rare = RareLog(log)
         self._bad = RareLog(log)
         self._penalties = 0
-        self._turns: Turns | None = None
+        self._turns: FairSelector | None = None
         self._strangers: dict[Stream, float] = {}  # without a good request: microseconds used by each so far
         self._later: set[Stream] = set()  # those that are not read for a while
         self._told_off: set[Stream] = set()  # those whose input was bad
@@ -125,10 +125,10 @@
 
     def mark(self, stream: Stream, state: State) -> None:
         """A connection is at something else. An answer to a good request makes it no stranger any more."""
-        self.exchange.knock()
+        self.exchange.run_overdue_round()
         if state is State.IDLE and (used := self._strangers.pop(stream, None)) is not None:
-            self.governor.spent(-used)
-            self._rank(stream, Rank.CLIENT)
+            self.load_shedder.spent(-used)
+            self._rank(stream, ConnectionPriority.CLIENT)
         was, since = self.streams.get(stream, (None, 0))
         if was is state:
             return
@@ -176,9 +176,9 @@
     def serve_on(self, opened: socket.socket) -> None:
         """Serve on a socket that is bound."""
         opened.listen(BACKLOG)
-        self._turns = turns_of(asyncio.get_running_loop())
+        self._turns = fair_selector_of(asyncio.get_running_loop())
         if self._turns is not None:
-            self._turns.keeper = self.governor
+            self._turns.keeper = self.load_shedder
         opened.setblocking(False)
         accepting = self._start(self._accepting(opened))
         # Not before: until its cancelling has run, the loop still watches the socket's number.
@@ -220,12 +220,12 @@
         self._bad.warning("a client's input is refused: %s", why)
         self._strangers.setdefault(stream, 0.0)
         self._told_off.add(stream)
-        self._rank(stream, Rank.STRANGER)
+        self._rank(stream, ConnectionPriority.NEW_CLIENT)
         self.mark(stream, State.BUSY)
-        if self._penalties < self.governor.penalties(self.most):
+        if self._penalties < self.load_shedder.penalties(self.most):
             self._penalties += 1
             try:
-                await pause(self.after, self.governor.penalty_us)
+                await pause(self.after, self.load_shedder.penalty_us)
             finally:
                 self._penalties -= 1
         await stream.send(last)
@@ -233,7 +233,7 @@
         stream.end_sending()
         with suppress(TimeoutError):
             async with time_limit(self.after, LINGER_US):
-                left = LINGER_BYTES if self.governor.level is Level.CALM else 0  # reading costs, too
+                left = LINGER_BYTES if self.load_shedder.level is Level.CALM else 0  # reading costs, too
                 while left > 0 and (gone := await stream.skip()):
                     left -= gone
                 if left <= 0:  # let it wait for us, rather than read at its pace
@@ -242,7 +242,7 @@
     # Room, and time.
 
     async def _accepting(self, opened: socket.socket) -> None:
-        await Metered(self._accept_for_ever(opened), self._charge_accepting)
+        await CpuMeteredCoroutine(self._accept_for_ever(opened), self._charge_accepting)
 
     async def _accept_for_ever(self, opened: socket.socket) -> None:
         while True:
@@ -252,8 +252,8 @@
                     what = ", ".join(f"{count} {state}" for state, count in sorted(at.items()))
                     self._rare.warning("%d clients are connected (%s), others wait", self.most, what)
                     await pause(self.after, FULL_US)
-                self.exchange.knock()
-                if wait_us := self.governor.pace_us(self._now()):
+                self.exchange.run_overdue_round()
+                if wait_us := self.load_shedder.pace_us(self._now()):
                     await pause(self.after, wait_us)
                 # Guards new clients of a full core, whose turns are long, against one connection a turn.
                 batch = self._ready(opened, AT_ONCE)
@@ -264,7 +264,7 @@
                 if len(taken) < len(batch):
                     wasted = self._accepting_us * (1 - len(taken) / len(batch))
                     self._accepting_us -= wasted
-                    self.governor.wasted(wasted)
+                    self.load_shedder.wasted(wasted)
                 if connecting := self._connect_all(taken):
                     await asyncio.wait(connecting)  # a cancellation leaves them to go on
                 # Guards the loop against clients that leave as fast as they come: neither accepting nor
@@ -282,7 +282,7 @@
         here = sum(not stream.closing for stream in self.streams) if self.draining else len(self.streams)
         room = min(most, self.most - here)
         while len(batch) < room:
-            if batch and not self.draining and self.governor.pace_us(self._now()):
+            if batch and not self.draining and self.load_shedder.pace_us(self._now()):
                 break
             try:
                 accepted, _ = opened.accept()
@@ -322,7 +322,7 @@
     async def _connect(self, accepted: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
-            await Metered(self._made(loop, accepted), self._charge_accepting)
+            await CpuMeteredCoroutine(self._made(loop, accepted), self._charge_accepting)
         except OSError as error:
             self._rare.warning("a connection was not accepted: %s", error.strerror or error)
 
@@ -391,15 +391,15 @@
                 return EVER_US
 
     def _accept(self, stream: Stream) -> None:
-        self.governor.spent(CONNECTION_US)
-        self._rank(stream, Rank.STRANGER)
+        self.load_shedder.spent(CONNECTION_US)
+        self._rank(stream, ConnectionPriority.NEW_CLIENT)
         self._strangers[stream], self._accepting_us = self._accepting_us + CONNECTION_US, 0.0
         self.mark(stream, State.NEW)
         self._start(self._serve(stream))
 
     async def _serve(self, stream: Stream) -> None:
         try:
-            await Metered(self.talk(stream), lambda us: self._charge(stream, us))
+            await CpuMeteredCoroutine(self.talk(stream), lambda us: self._charge(stream, us))
         except (OSError, TimeoutError) as gone:
             log.debug("a client went away: %s", gone)
         except Exception:
@@ -408,27 +408,27 @@
             self.streams.pop(stream, None)
             used = self._strangers.pop(stream, None)
             if used is not None and stream not in self._told_off:
-                self.governor.wasted(used)
+                self.load_shedder.wasted(used)
             self._told_off.discard(stream)
             stream.close_at_once()
 
     def _charge_accepting(self, us: float) -> None:
         self._accepting_us += us
-        self.governor.spent(us)
+        self.load_shedder.spent(us)
 
     def _charge(self, stream: Stream, us: float) -> None:
         if (used := self._strangers.get(stream)) is not None:
             self._strangers[stream] = used + us
-            self.governor.spent(us)
-            self._rank(stream, Rank.STRANGER, used + us)
+            self.load_shedder.spent(us)
+            self._rank(stream, ConnectionPriority.NEW_CLIENT, used + us)
             state = self.streams.get(stream, (State.LEAVING, 0))[0]
             asking = state in (State.NEW, State.OWING)
-            if asking and not stream.closing and self.governor.used_up(used + us):
+            if asking and not stream.closing and self.load_shedder.used_up(used + us):
                 # Guards a full core against requests that come in by single bytes.
                 self._bad.warning("a client's input is refused: its request takes too much time to read")
                 stream.send_last(self.too_slow)
                 stream.close_at_once()
-            elif asking and self.governor.in_pieces(used + us):
+            elif asking and self.load_shedder.in_pieces(used + us):
                 self._read_later(stream)
 
     def _read_later(self, stream: Stream) -> None:
@@ -442,11 +442,11 @@
             self._later.discard(stream)
             stream.resume()
             if stream in self._strangers:  # whose rank went with the watch on it
-                self._rank(stream, Rank.STRANGER, self._strangers[stream])
+                self._rank(stream, ConnectionPriority.NEW_CLIENT, self._strangers[stream])
 
         self.after(PIECES_US, read_again)
 
-    def _rank(self, stream: Stream, rank: Rank, used_us: float = 0.0) -> None:
+    def _rank(self, stream: Stream, rank: ConnectionPriority, used_us: float = 0.0) -> None:
         if self._turns is not None and (descriptor := stream.descriptor) >= 0:
             self._turns.rank(descriptor, rank, used_us)
 
--- a/rowanrack/net/memory_peers.py
+++ b/rowanrack/net/memory_peers.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from rowanspindle.notes import Note, read, write
+from rowanspindle.notes import Note, decode_note, encode_note
 
 Later = Callable[[int, Callable[[], None]], object]  # do something after so many microseconds
 
@@ -43,7 +43,7 @@
 
     def tell(self, number: int, note: Note) -> None:
         """A note from this sender to all others. Raises ValueError for one that is too long."""
-        data, weather = write(note), self.weather
+        data, weather = encode_note(note), self.weather
         self.sent += 1
         for other in self._heard:
             if other == number:
@@ -55,4 +55,4 @@
 
     def _arrive(self, number: int, other: int, data: bytes) -> None:
         if heard := self._heard[other]:
-            self._rng.choice(heard)(number, read(data))
+            self._rng.choice(heard)(number, decode_note(data))
--- a/rowanrack/net/peers.py
+++ b/rowanrack/net/peers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 
 from rowanrack.net.rare_log import RareLog
-from rowanspindle.notes import MOST_BYTES, Note, NoteError, read, write
+from rowanspindle.notes import MAX_NOTE_BYTES, Note, NoteError, decode_note, encode_note
 
 log = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
         if self._socket is None:
             return
         try:
-            self._socket.sendto(write(note), self._all)
+            self._socket.sendto(encode_note(note), self._all)
         except OSError as error:
             self._rare.warning("notes: not sent: %s", error.strerror or error)
 
@@ -72,7 +72,7 @@
             if self._socket is None:
                 return
             try:
-                data, source = self._socket.recvfrom(MOST_BYTES + 1)
+                data, source = self._socket.recvfrom(MAX_NOTE_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:
@@ -88,7 +88,7 @@
             self._drop("more than %d a second from peer %d", EACH_MOST, number)
             return
         try:
-            note = read(data)
+            note = decode_note(data)
         except NoteError as error:
             self._drop("from peer %d: %s", number, error)
             return
--- a/rowanrack/net/pool.py
+++ b/rowanrack/net/pool.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.core.messages import Attempt, Batch, Instance, Progress, Verdict
+from rowanrack.core.messages import Attempt, Batch, CallVerdict, Endpoint, Progress
 from rowanrack.core.wheel import WheelTimer
 from rowanrack.net.http import (
     Call,
@@ -40,20 +40,20 @@
     def call(self, part: Sequence[Attempt], left_us: int) -> Call:
         """The request of attempts that are waited for so long."""
 
-    def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[Verdict]:
+    def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
         """What the answer means for each."""
 
 
 class Idle:
     """A connection that waits for its next call; whatever arrives meanwhile ends it."""
 
-    def __init__(self, instance: Instance, caller: HttpCaller, now_us: int) -> None:
+    def __init__(self, instance: Endpoint, caller: HttpCaller, now_us: int) -> None:
         self.instance, self.caller, self.since_us = instance, caller, now_us
         self.watch = asyncio.create_task(caller.stream.fill_quietly())
         self.timer: WheelTimer | None = None
 
 
-class InstancePool:
+class EndpointPool:
     """Connections to instances, each with one call at a time, and a task for each batch of attempts."""
 
     def __init__(self, exchange: Exchange, forms: dict[str, CallForm], idle_most: int) -> None:
@@ -109,7 +109,7 @@
         try:
             while waiting := batch.waiting():
                 if caller is None:
-                    caller = await self._take(batch.instance) or await self._open(batch.instance)
+                    caller = await self._take(batch.endpoint) or await self._open(batch.endpoint)
                 form = self.forms[waiting[0].message.front]
                 same = [e for e in waiting if self.forms[e.message.front] is form]
                 part = [e for e in same[: form.part(same)] if self.exchange.begin(e)]
@@ -120,26 +120,26 @@
                     caller.stream.abort()
                     caller = None
                 elif len(part) == len(waiting):
-                    self._keep(batch.instance, caller)
+                    self._keep(batch.endpoint, caller)
                     caller = None
                 for attempt, verdict in zip(part, verdicts, strict=True):
                     self.exchange.settle(attempt, verdict)
             if caller is not None:
-                self._keep(batch.instance, caller)
+                self._keep(batch.endpoint, caller)
                 caller = None
         except (OSError, TimeoutError):
             # Only opening the connection raises these: nothing of what still waits was written.
             for attempt in batch.waiting():
                 self.exchange.settle(attempt, Result.CONNECT_FAILED)
         except Exception:
-            log.exception("a call to %s failed", batch.instance.name)
+            log.exception("a call to %s failed", batch.endpoint.name)
             for attempt in batch.attempts:
                 self.exchange.settle(attempt, Result.RESET if attempt.begun else Result.CONNECT_FAILED)
         finally:
             if caller is not None:
                 caller.stream.abort()
 
-    async def _call(self, caller: HttpCaller, form: CallForm, part: list[Attempt]) -> list[Verdict]:
+    async def _call(self, caller: HttpCaller, form: CallForm, part: list[Attempt]) -> list[CallVerdict]:
         """One call and what became of each attempt in it."""
         now = self.exchange.clock.now_us()
         left_us = max(e.started_us + e.timeout_us - now for e in part)
@@ -152,19 +152,19 @@
         except CallNotSentError:
             result = Result.CONNECT_FAILED
         except CallBrokenError as error:
-            self._rare.warning("%s: %s, the call may have run", part[0].instance.name, error)
+            self._rare.warning("%s: %s, the call may have run", part[0].endpoint.name, error)
             result = Result.RESET
         finally:
             del self._callers[batch]
-        return [Verdict(result)] * len(part)
+        return [CallVerdict(result)] * len(part)
 
-    async def _open(self, instance: Instance) -> HttpCaller:
+    async def _open(self, instance: Endpoint) -> HttpCaller:
         async with time_limit(self.exchange.after, self.exchange.settings.connect_timeout_us):
             stream = await Stream.connect(instance.host, instance.port)
         host = f"{instance.host}:{instance.port}"
         return HttpCaller(stream, host, REPLY_LIMIT, self.exchange.after, REST_US)
 
-    async def _take(self, instance: Instance) -> HttpCaller | None:
+    async def _take(self, instance: Endpoint) -> HttpCaller | None:
         """The connection used last: it stands idle for the shortest time."""
         waiting = self.idle.get(instance.name, [])
         while waiting:
@@ -188,7 +188,7 @@
             idle.caller.stream.abort()
         return None
 
-    def _keep(self, instance: Instance, caller: HttpCaller) -> None:
+    def _keep(self, instance: Endpoint, caller: HttpCaller) -> None:
         if not self.exchange.table.listed(instance.name):
             # Guards the instance, and our descriptors: nothing new goes to one that drains or is gone.
             caller.stream.abort()
--- a/rowanrack/record/recorder.py
+++ b/rowanrack/record/recorder.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.core.messages import Attempt, End, Instance, Message, Refusal
+from rowanrack.core.messages import Attempt, End, Endpoint, Message, Refusal
 from rowanrack.net.rare_log import RareLog
 from rowanrack.record.format import (
     FRAME,
@@ -34,7 +34,7 @@
     Turned,
     packed,
 )
-from rowanspindle import Effect, Result, Status
+from rowanspindle import Effect, EndpointStatus, Result
 
 log = logging.getLogger(__name__)
 rare = RareLog(log)
@@ -191,7 +191,7 @@
         return [begins, *(self._listed(now, i) for i in self.exchange.table.instances())]
 
     @staticmethod
-    def _listed(now: int, i: Instance) -> Listed:
+    def _listed(now: int, i: Endpoint) -> Listed:
         return Listed(now, i.name, i.dest, i.kind, i.zone, i.status.value, i.rate)
 
     def flush(self) -> None:
@@ -248,25 +248,25 @@
         left = max(0, message.deadline_us - self._clock.unix_us())
         self._add(Turned(now, message.cls, message.tenant, message.dest, left, refusal.retry_us))
 
-    def listed(self, news: list[Instance], gone: list[str]) -> None:
+    def listed(self, news: list[Endpoint], gone: list[str]) -> None:
         """News of instances."""
         now = self._clock.now_us()
         for instance in news:
             self._add(self._listed(now, instance))
         for name in gone:
-            self._add(Listed(now, name, -1, "", "", Status.REMOVED.value, 0.0))
+            self._add(Listed(now, name, -1, "", "", EndpointStatus.REMOVED.value, 0.0))
 
     def began(self, attempt: Attempt) -> None:
         """A call's first byte goes out."""
         now = self._clock.now_us()
-        self._add(Began(now, attempt.message.ref, attempt.leg, attempt.instance.name,
+        self._add(Began(now, attempt.message.ref, attempt.attempt_number, attempt.endpoint.name,
                         now - attempt.started_us))  # fmt: skip
 
     def settled(self, attempt: Attempt, result: Result, wait_us: int) -> None:
         """A call has ended."""
-        i, now = attempt.instance, self._clock.now_us()
-        self._add(Settled(now, attempt.message.ref, attempt.leg, i.name, i.dest, result.value, wait_us,
-                          attempt.begun, now - attempt.started_us))  # fmt: skip
+        i, now = attempt.endpoint, self._clock.now_us()
+        self._add(Settled(now, attempt.message.ref, attempt.attempt_number, i.name, i.dest, result.value,
+                          wait_us, attempt.begun, now - attempt.started_us))  # fmt: skip
 
     def ended(self, message: Message, end: End) -> None:
         """A message has ended."""
--- a/rowanrack/store/journal.py
+++ b/rowanrack/store/journal.py
@@ -338,8 +338,10 @@
     def _parts(message: Message) -> list[bytes]:
         """The records that say all that is known of an owed message."""
         parts = [frame(taken_record(message))]
-        if message.legs and message.legs - 1 not in message.unsettled:
-            parts += [frame(step_record(kind, message.id, message.legs - 1)) for kind in (BEGUN, NEVER_RAN)]
+        if message.attempts_made and message.attempts_made - 1 not in message.unsettled:
+            parts += [
+                frame(step_record(kind, message.id, message.attempts_made - 1)) for kind in (BEGUN, NEVER_RAN)
+            ]
         parts += [frame(begun_record(message, leg, at)) for leg, at in sorted(message.unsettled.items())]
         return parts
 
@@ -386,17 +388,17 @@
         self._book(message.id, kept, left)
         return True
 
-    def begin(self, message: Message, leg: int) -> bool:
+    def begin(self, message: Message, attempt_number: int) -> bool:
         """Record an attempt before its first byte; False if it was not written."""
-        record = frame(begun_record(message, leg, self.unix_us()))
+        record = frame(begun_record(message, attempt_number, self.unix_us()))
         if not self._append(record):
             return False
         self._spent(message.id, len(record))
         return True
 
-    def never_ran(self, message: Message, leg: int) -> None:
+    def never_ran(self, message: Message, attempt_number: int) -> None:
         """Record the proof that an attempt never ran."""
-        record = frame(step_record(NEVER_RAN, message.id, leg))
+        record = frame(step_record(NEVER_RAN, message.id, attempt_number))
         self._record(record)
         self._spent(message.id, len(record))
 
@@ -484,7 +486,7 @@
         step = STEP + len(message.id)
         end = END + len(message.id) + len(message.front.encode()) + step
         begun = step + STEP_TIME * bool(message.key)
-        attempts = max(0, self.attempts - message.legs) * (begun + step)
+        attempts = max(0, self.attempts - message.attempts_made) * (begun + step)
         return end + attempts + len(message.unsettled) * step
 
     def _room(self, more: int, kept: int, left: int) -> bool:
@@ -667,7 +669,7 @@
         elif kind in (BEGUN, NEVER_RAN):
             leg, *at = struct.unpack("<Iq" if len(rest) == TIMED else "<I", rest)
             if (message := self.owed.get(message_id)) is not None:
-                message.legs = max(message.legs, leg + 1)
+                message.attempts_made = max(message.attempts_made, leg + 1)
                 if kind == BEGUN:
                     message.unsettled[leg] = at[0] if at else 0
                 else:
--- a/rowanrack/store/memory.py
+++ b/rowanrack/store/memory.py
@@ -29,16 +29,16 @@
         self.ends.pop(message.id, None)
         self.told.discard(message.id)
 
-    def begin(self, message_id: str, leg: int, at_us: int) -> None:
+    def begin(self, message_id: str, attempt_number: int, at_us: int) -> None:
         """An attempt begins."""
         if (message := self.owed.get(message_id)) is not None:
-            message.legs = max(message.legs, leg + 1)
-            message.unsettled[leg] = at_us
+            message.attempts_made = max(message.attempts_made, attempt_number + 1)
+            message.unsettled[attempt_number] = at_us
 
-    def never_ran(self, message_id: str, leg: int) -> None:
+    def never_ran(self, message_id: str, attempt_number: int) -> None:
         """It has never run."""
         if (message := self.owed.get(message_id)) is not None:
-            message.unsettled.pop(leg, None)
+            message.unsettled.pop(attempt_number, None)
 
     def end(self, message: Message, end: End) -> None:
         """A message has ended."""
@@ -77,16 +77,16 @@
         self.shelf.take(replace(message, unsettled={}, out={}, guard=None))
         return True
 
-    def begin(self, message: Message, leg: int) -> bool:
+    def begin(self, message: Message, attempt_number: int) -> bool:
         """Record that an attempt is about to begin, and when if the message has a key."""
         if not self.recording():
             return False
-        self.shelf.begin(message.id, leg, self.unix_us() if message.key else 0)
+        self.shelf.begin(message.id, attempt_number, self.unix_us() if message.key else 0)
         return True
 
-    def never_ran(self, message: Message, leg: int) -> None:
+    def never_ran(self, message: Message, attempt_number: int) -> None:
         """Record the proof that an attempt never ran."""
-        self._record(lambda shelf: shelf.never_ran(message.id, leg))
+        self._record(lambda shelf: shelf.never_ran(message.id, attempt_number))
 
     def end(self, message: Message, end: End) -> None:
         """Record the one end of a message."""
--- a/rowanrack/store/outages.py
+++ b/rowanrack/store/outages.py
@@ -52,7 +52,7 @@
         stale = bool(outages) and now_us - self._written_us >= REFRESH_US
         if outages == self._written and not stale:
             return
-        rows = [[outage.target, outage.struck_at, outage.back_at] for outage in outages]
+        rows = [[outage.target, outage.began_at, outage.back_at] for outage in outages]
         try:
             replace(self.path, json.dumps({"known_us": now_us, "outages": rows}))
         except OSError as error:
--- a/rowanspindle/api.py
+++ b/rowanspindle/api.py
@@ -35,7 +35,7 @@
     MOOT = "moot"
 
 
-class Scope(Enum):
+class UpdateScope(Enum):
     """What a news item about the list of endpoints holds."""
 
     DELTA = "delta"
@@ -43,7 +43,7 @@
     FAILED = "failed"
 
 
-class Status(Enum):
+class EndpointStatus(Enum):
     """What the list says of an endpoint; nothing about its health."""
 
     LISTED = "listed"
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class DestinationKind:
     """A kind of destination: messages in one call, and whether its endpoints are routes apart."""
 
     batch: int = 1
@@ -99,7 +99,7 @@
     slots: int
     most_held: int
     tenants: dict[str, float]
-    kinds: dict[str, Kind]
+    kinds: dict[str, DestinationKind]
     replicas: int = 1
     try_limit: int = 12
     second_copies: bool = False
@@ -164,45 +164,45 @@
     left_us: int
     tenant: str | None = None
     key: str | None = None
-    legs: int = 0  # attempts already used; the next one has this number
-    ran: bool = False  # whether one of them may have run,
-    ran_us: int = 0  # and how long ago the first of these was sent
+    attempts_made: int = 0  # attempts already used; the next one has this number
+    may_have_run: bool = False  # whether one of them may have run,
+    first_attempt_age_us: int = 0  # and how long ago the first of these was sent
     waited_us: int = 0  # for how long it has been owed, by the process before this one
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """An attempt has ended; `over` says that the message has ended with it, or before."""
+    """An attempt has ended; `message_ended` says that the message has ended with it, or before."""
 
     ref: int
-    leg: int
+    attempt_number: int
     target: str
     result: Result
     latency_us: int
-    over: bool
+    message_ended: bool
     wait_us: int = 0
     left: float | None = None
     limit: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class EndpointEntry:
     """One endpoint as listed; the weight, if told, is its destination's rough rate in calls a second."""
 
     target: str
     zone: str
     kind: str
     dest: int
-    status: Status
+    status: EndpointStatus
     weight: float
 
 
 @dataclass(frozen=True, slots=True)
-class Members:
+class EndpointListUpdate:
     """News of the list of endpoints."""
 
-    scope: Scope
-    members: tuple[Member, ...] = ()
+    scope: UpdateScope
+    entries: tuple[EndpointEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -213,14 +213,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class TimerFired:
     """A timer that the forwarder armed is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class NoteReceived:
     """A note from another forwarder, by its number; it may come late, twice, or not at all."""
 
     peer: int
@@ -232,18 +232,18 @@
     """What is known of an endpoint that is out or cold; a time may be one of an earlier process."""
 
     target: str
-    struck_at: int  # when the outage began,
+    began_at: int  # when the outage began,
     back_at: int | None  # and ended, or will; None: that is not known
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class OutagesRestored:
     """What the process before this one knew of outages."""
 
     outages: tuple[Outage, ...]
 
 
-Event = Accept | Outcome | Members | Withdrawn | Timer | Heard | Recalled
+Event = Accept | Outcome | EndpointListUpdate | Withdrawn | TimerFired | NoteReceived | OutagesRestored
 
 
 @dataclass(frozen=True, slots=True)
@@ -275,7 +275,7 @@
     """Stop waiting for one attempt."""
 
     ref: int
-    leg: int
+    attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -286,30 +286,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arm:
-    """Ask for a Timer event after this time."""
+class ArmTimer:
+    """Ask for a TimerFired event after this time."""
 
     after_us: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchEndpointList:
     """Ask the keeper of the list for changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogLine:
     """A line for the operators."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class BroadcastNote:
     """A note to every other forwarder."""
 
     note: Note
 
 
-Action = Send | Refuse | Fail | Cancel | Disconnect | Arm | Watch | Log | Tell
+Action = Send | Refuse | Fail | Cancel | Disconnect | ArmTimer | WatchEndpointList | LogLine | BroadcastNote
--- a/rowanspindle/trust.py
+++ b/rowanspindle/connection_reuse.py
@@ -10,9 +10,9 @@
 from collections import defaultdict
 
 from rowanspindle.api import Settings
-from rowanspindle.hearsay import MOST_SENDERS
+from rowanspindle.gossip import MAX_SENDERS_ALL_TELL
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 REUSE_LEAST = 3.0  # calls expected while an idle connection is trusted: below, it is closed after its answer
 GROW = 1.005  # factor of each answer on the time
 FALL = 0.7  # and of each connection that was dropped unseen, on the time for which it was idle
@@ -25,7 +25,7 @@
 FADE = 0.97  # factor of each call on the weight of those before it
 
 
-class Refusals:
+class RefusalRate:
     """How often calls are refused, the last few dozen in the main."""
 
     def __init__(self, calls: float = 0.0, refused: float = 0.0) -> None:
@@ -41,24 +41,24 @@
         return self.refused / max(self.calls, 1.0)
 
 
-class Trust:
+class ConnectionReuse:
     """The trusted idle time of each kind, in microseconds."""
 
     def __init__(self, settings: Settings) -> None:
         self._most, self._one_call = settings.keepalive_us, settings.streams_per_conn == 1
         self._many = settings.replicas >= SHORT_SENDERS
-        self._fleet = settings.replicas > MOST_SENDERS  # one each fills any table
-        self.us: defaultdict[str, float] = defaultdict(lambda: float(self._most))
-        self._new: defaultdict[str, Refusals] = defaultdict(Refusals)
-        self._kept: defaultdict[str, Refusals] = defaultdict(lambda: Refusals(*BEFORE))
+        self._fleet = settings.replicas > MAX_SENDERS_ALL_TELL  # one each fills any table
+        self.idle_limit_us: defaultdict[str, float] = defaultdict(lambda: float(self._most))
+        self._new: defaultdict[str, RefusalRate] = defaultdict(RefusalRate)
+        self._kept: defaultdict[str, RefusalRate] = defaultdict(lambda: RefusalRate(*BEFORE))
         self._short: dict[str, int] = {}  # kinds whose endpoints run short of connections, and until when
 
-    def answered(self, kind: str, new: bool = False) -> None:
+    def record_answer(self, kind: str, new: bool = False) -> None:
         """A connection lived, a new one or one that was kept."""
-        self.us[kind] = min(self._most, self.us[kind] * GROW)
+        self.idle_limit_us[kind] = min(self._most, self.idle_limit_us[kind] * GROW)
         (self._new if new else self._kept)[kind].add(False)
 
-    def refused(self, kind: str, new: bool, now: int) -> bool:
+    def record_refusal(self, kind: str, new: bool, now: int) -> bool:
         """A call was turned away with no wait told: whether for want of connections, not for a limit.
 
         A limit refuses calls on kept connections as often as those on new ones; a full table only the latter.
@@ -69,16 +69,16 @@
             self._short[kind] = now + SHORT_US
         return short
 
-    def short(self, kind: str, now: int) -> None:
+    def record_shortage(self, kind: str, now: int) -> None:
         """Another sender found connections to be short there: believed for a while."""
         self._short[kind] = max(self._short.get(kind, 0), now + HEARD_SHORT_US)
 
-    def dropped(self, kind: str, idle_us: float | None = None) -> None:
+    def record_drop(self, kind: str, idle_us: float | None = None) -> None:
         """A connection was dropped after so long, or one more could not be had."""
-        known = self.us[kind] if idle_us is None else min(self.us[kind], idle_us)
-        self.us[kind] = max(LEAST_US, known * FALL)
+        known = self.idle_limit_us[kind] if idle_us is None else min(self.idle_limit_us[kind], idle_us)
+        self.idle_limit_us[kind] = max(LEAST_US, known * FALL)
 
-    def too_rare(self, kind: str, calls_a_second: float, now: int) -> bool:
+    def is_rarely_reused(self, kind: str, calls_a_second: float, now: int) -> bool:
         """Whether an idle connection there will hardly be used again while it lives.
 
         Answers endpoints that take few connections, and connections dropped unseen. Where one carries one
@@ -88,6 +88,6 @@
         answers regain the trust.
         """
         short = self._fleet or now < self._short.get(kind, 0)
-        doubted = self._fleet or self.us[kind] < self._most or self._one_call
-        trusted = LEAST_US if short else self.us[kind]
-        return doubted and calls_a_second * trusted < REUSE_LEAST * SECOND
+        doubted = self._fleet or self.idle_limit_us[kind] < self._most or self._one_call
+        trusted = LEAST_US if short else self.idle_limit_us[kind]
+        return doubted and calls_a_second * trusted < REUSE_LEAST * SECOND_US
--- a/rowanspindle/order.py
+++ b/rowanspindle/data_structures.py
@@ -20,7 +20,7 @@
 SLACK = 32  # overtaken entries that a heap may hold beyond those in use, whatever its size
 
 
-class Agenda(Generic[K]):
+class DeadlineQueue(Generic[K]):
     """When each of many things falls due: one time for each key, on any clock of whole numbers."""
 
     def __init__(self) -> None:
@@ -75,7 +75,7 @@
         return keys
 
 
-class Ranking(Generic[K]):
+class PriorityQueue(Generic[K]):
     """Keys by a score that was right when it was looked at: the least first, the key breaking ties.
 
     Scores that drift are kept honest by their user, who looks again at the first few and at the stalest.
@@ -129,7 +129,7 @@
             heappop(heap)
         return None
 
-    def fresh_first(self, since: int, looks: int, look: Callable[[K], None]) -> K | None:
+    def first_refreshed(self, since: int, looks: int, look: Callable[[K], None]) -> K | None:
         """The first key, which was looked at later than that time or is looked at now.
 
         `look` sets or drops the key's score, so that another may come first: after so many looks whatever
@@ -148,7 +148,7 @@
                 look(key)
 
 
-class ByTime(Generic[T]):
+class TimeSortedList(Generic[T]):
     """Things in the order of a time each, found and taken out by it."""
 
     def __init__(self) -> None:
@@ -194,7 +194,7 @@
         return [items[place][2] for place in sorted(places)]
 
 
-def crowd(senders: int, rate: float, age_us: int) -> float:
+def estimate_active_senders(senders: int, rate: float, age_us: int) -> float:
     """How many of some senders have work for a destination, this one included, where work has waited so long.
 
     At most rate x age messages came in that time, spread evenly: each other sender has some with the chance
@@ -203,7 +203,7 @@
     return 1 - (senders - 1) * math.expm1(-rate * max(0, age_us) / 1_000_000 / senders)
 
 
-class Usual:
+class RunningMean:
     """A running mean and mean deviation of what is measured, which forget."""
 
     def __init__(self, weight: float) -> None:
@@ -225,7 +225,7 @@
         return self.deviation * math.sqrt(math.pi / 2 * (self._first + rest))
 
 
-class Window:
+class ConcurrencyWindow:
     """A count that rises by one a round while it is in use, and falls by a factor, once for a burst."""
 
     def __init__(self, start: float, most: float, floor: float, cut: float) -> None:
@@ -244,7 +244,7 @@
             self.cut_at = now
 
 
-class Bucket:
+class TokenBucket:
     """Tokens that come at a rate; each call takes one."""
 
     def __init__(self, tokens: float) -> None:
@@ -258,7 +258,7 @@
         return now if self.tokens >= 1 else now + math.ceil((1 - self.tokens) / max(rate, 1e-6) * 1_000_000)
 
 
-class Meter:
+class RateEstimator:
     """A rate measured from events, that forgets; the first guess counts like so many events."""
 
     def __init__(self, now: int, memory_s: float, weight: float) -> None:
