--- a/rowanspindle/logic.py
+++ b/rowanspindle/logic.py
@@ -13,41 +13,41 @@
 from rowanspindle.api import (
     Accept,
     Action,
-    Arm,
+    ArmTimer,
     Cancel,
+    DestinationKind,
     Disconnect,
     Effect,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
     Event,
     Fail,
-    Heard,
-    Kind,
-    Log,
-    Member,
-    Members,
+    LogLine,
+    NoteReceived,
     Outage,
+    OutagesRestored,
     Outcome,
-    Recalled,
     Refuse,
     Result,
-    Scope,
     Send,
     Settings,
-    Status,
-    Timer,
-    Watch,
+    TimerFired,
+    UpdateScope,
+    WatchEndpointList,
     Withdrawn,
 )
-from rowanspindle.hearsay import UNIT_US
-from rowanspindle.held import NEVER, KeyLine, Message, Place, turns
-from rowanspindle.notes import What, digest
-from rowanspindle.order import Usual, Window
-from rowanspindle.pacing import Gate
-from rowanspindle.slow_start import TRIAL_LEAST_S, Recovery
-from rowanspindle.state import Call, State
-from rowanspindle.trust import LEAST_US
-from rowanspindle.zones import share_out
-
-SECOND = 1_000_000  # microseconds
+from rowanspindle.connection_reuse import LEAST_US
+from rowanspindle.data_structures import ConcurrencyWindow, RunningMean
+from rowanspindle.gossip import WAIT_UNIT_US
+from rowanspindle.held_messages import NEVER, DestinationState, KeyQueue, Message, urgency_breakpoints
+from rowanspindle.notes import FactKind, endpoint_digest
+from rowanspindle.pacing import SharedLimit
+from rowanspindle.slow_start import TRIAL_LEAST_S, OutageState
+from rowanspindle.state import Call, ForwarderState
+from rowanspindle.zones import assign_shares
+
+SECOND_US = 1_000_000
 
 FAILURE_WEIGHT = 10.0  # in-flight calls that one recent failure weighs, as in Dialogue
 FAILURE_DECAY_S = 3.0  # seconds in which a failure's weight falls to 1/e
@@ -108,25 +108,29 @@
     return mean / least - 1 if mean - least > chance * (error + doubt) else 0.0
 
 
-def full(window: Window, calls: list[Call[Endpoint]], now: int) -> bool:
+def full(window: ConcurrencyWindow, calls: list[Call[Endpoint]], now: int) -> bool:
     """Whether the calls in flight leave no permit; lost ones hold none."""
     size = int(window.size)
     return len(calls) >= size and sum(not lost(c, now) for c in calls) >= size
 
 
-class Endpoint(Recovery):
+class Endpoint(OutageState):
     """One endpoint: its window, its answer times, its outage and slow start."""
 
-    def __init__(self, member: Member, gate: Gate, settings: Settings, turn: float, drawn: bool) -> None:
+    def __init__(
+        self, member: EndpointEntry, shared_limit: SharedLimit, settings: Settings, turn: float, drawn: bool
+    ) -> None:
         super().__init__(settings)
         self.target, self.zone, self.dest, self.kind = member.target, member.zone, member.dest, member.kind
-        self.gate, self.settings = gate, settings
+        self.shared_limit, self.settings = shared_limit, settings
         self.turn, self.share = turn, 1.0  # equal ranks take turns, as often as their shares say
         self.listed, self.drawn = True, drawn  # drawn: by lot, to be called first
-        self.window = Window(gate.window.size, gate.window.most, pacing.FLOOR, pacing.CUT)
+        self.window = ConcurrencyWindow(
+            shared_limit.window.size, shared_limit.window.most, pacing.FLOOR, pacing.CUT
+        )
         self.calls: list[Call[Endpoint]] = []
         self.failures, self.failed_at, self.row, self.row_since = 0.0, 0, 0, 0
-        self.usual = Usual(SMOOTH)
+        self.usual = RunningMean(SMOOTH)
         self.warm: list[int] = []
         self.answered_at = 0
         self.least_us = SILENCE_AIMS * min(c.aim_us for c in settings.classes.values())
@@ -138,12 +142,12 @@
 
     def part(self) -> float:
         """An even part of what the destination takes, in calls a second of all forwarders."""
-        return self.gate.weight / max(1, self.gate.routes)
+        return self.shared_limit.weight / max(1, self.shared_limit.routes)
 
     def rank(self, now: int, more: bool = False) -> float:
         """Dialogue's balanced rank, with a preference for warm connections until one more is worth it. Among
         many, failures weigh whole calls: with few in flight what is left of one had an endpoint shunned."""
-        recent = self.failures * math.exp(-(now - self.failed_at) / (FAILURE_DECAY_S * SECOND))
+        recent = self.failures * math.exp(-(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US))
         weight = FAILURE_WEIGHT * recent
         cold = NEW_CONNECTION if not (more or self.is_warm(now)) else 0.0
         return len(self.calls) + (round(weight) if self.settings.replicas >= MANY else weight) + cold
@@ -176,7 +180,7 @@
 
     def failed(self, now: int, sent_at: int) -> None:
         """A call failed: weigh it in the rank, and count it in the row."""
-        self.failures = 1 + self.failures * math.exp(-(now - self.failed_at) / (FAILURE_DECAY_S * SECOND))
+        self.failures = 1 + self.failures * math.exp(-(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US))
         self.failed_at = now
         self.row += 1
         self.row_since = sent_at if self.row == 1 else self.row_since
@@ -188,10 +192,10 @@
         self.usual.add(latency)
 
 
-Destination = Place[Endpoint, Gate]
+Destination = DestinationState[Endpoint, SharedLimit]
 
 
-class Forwarder(State[Endpoint, Gate]):
+class Forwarder(ForwarderState[Endpoint, SharedLimit]):
     """The decisions of one forwarder. It knows its settings and its own events, and nothing else."""
 
     @property
@@ -201,7 +205,7 @@
 
     def decide(self, now_us: int, events: list[Event]) -> list[Action]:
         """Take in what happened, and say what to do about it."""
-        if events and all(isinstance(e, Timer) and e.token != self.token for e in events):
+        if events and all(isinstance(e, TimerFired) and e.token != self.token for e in events):
             return []  # timers overtaken by a sooner one: nothing is due before the one that is armed
         self.now, self.actions = now_us, []
         for event in events:
@@ -210,47 +214,50 @@
                     self.accept(event)
                 case Outcome():
                     self.outcome(event)
-                case Members():
+                case EndpointListUpdate():
                     self.members(event)
-                case Heard():
+                case NoteReceived():
                     self.believe(event)
-                case Recalled():
+                case OutagesRestored():
                     self.recall(event)
                 case Withdrawn() if event.ref in self.messages:
                     self.end(self.messages[event.ref])
-                case Timer() if event.token == self.token:
+                case TimerFired() if event.token == self.token:
                     self.armed_for = NEVER
-        if now_us >= self.asking.at:
-            self.asking.at = NEVER
-            self.actions.append(Watch())
+        if now_us >= self.list_watch.next_request_at:
+            self.list_watch.next_request_at = NEVER
+            self.actions.append(WatchEndpointList())
         self.look_for_silence()
-        for key in self.rests.due(now_us):
-            self.line_up(key)
+        for key in self.key_rests.due(now_us):
+            self.refresh_key(key)
         self.expire()
         self.dispatch()
         self.close_idle()
         self.shed()
         self.forget()
-        self.actions += self.hearsay.tell(now_us)
+        self.actions += self.gossip.notes_to_send(now_us)
         self.arm()
         return self.actions
 
-    def believe(self, event: Heard) -> None:
+    def believe(self, event: NoteReceived) -> None:
         """What another forwarder has seen: it slows this one down, or takes the place of a trial."""
-        for what, number, value in self.hearsay.heard(event.peer, event.note, self.now):
-            if what is What.BACK and (back := self.digests.get(number)) is not None:
+        for what, number, value in self.gossip.receive(event.peer, event.note, self.now):
+            if what is FactKind.BACK and (back := self.digests.get(number)) is not None:
                 waits = back.out_since is not None or back.doubted
-                if waits and self.now - back.failed_at > value * UNIT_US:
+                if waits and self.now - back.failed_at > value * WAIT_UNIT_US:
                     self.returned(back, f"sender {event.peer} was answered")
             known = self.destinations[number] if number in self.destinations else Destination()
             for endpoint in known.endpoints.values():
-                if what is What.SHORT:
-                    self.trust.short(endpoint.kind, self.now)
+                if what is FactKind.SHORT:
+                    self.connection_reuse.record_shortage(endpoint.kind, self.now)
                     self.answered |= {e: None for e in self.endpoints.values() if e.kind == endpoint.kind}
-                elif what is What.REFUSED and not self.settings.kinds.get(endpoint.kind, Kind()).apart:
-                    endpoint.gate.heard(self.now, self.hearsay.wait_us(value), self.rng)
-                    self.shut(endpoint, self.hearsay.wait_us(value))
-            self.stir(number)
+                elif (
+                    what is FactKind.REFUSED
+                    and not self.settings.kinds.get(endpoint.kind, DestinationKind()).apart
+                ):
+                    endpoint.shared_limit.heard(self.now, self.gossip.wait_us(value), self.rng)
+                    self.shut(endpoint, self.gossip.wait_us(value))
+            self.mark_changed(number)
 
     def accept(self, event: Accept) -> None:
         """Take a message in."""
@@ -258,38 +265,38 @@
             raise ValueError(f"cls: unknown class {event.cls!r}")
         message = self.messages[event.ref] = Message(event, cls, self.now, self.tenant_share(event.tenant))
         self.measure(destination := self.destinations[message.dest])
-        destination.rate = destination.own.rate(self.now, SECOND / self.settings.keepalive_us)
-        destination.own.count += 1
+        destination.rate = destination.message_rate.rate(self.now, SECOND_US / self.settings.keepalive_us)
+        destination.message_rate.count += 1
         self.own.count += 1
-        self.hearsay.earn()
+        self.gossip.earn_budget()
         if message.key is not None:
-            self.keys.setdefault(message.key, KeyLine()).waiting.append(message)
+            self.keys.setdefault(message.key, KeyQueue()).waiting.append(message)
         self.keep(message)
 
     def keep(self, message: Message) -> None:
         """Hold a message for its destination, until its time is up or it may go no more."""
         destination = self.waiting[message.dest] = self.destinations[message.dest]
         turn = message.key is None or self.keys[message.key].in_turn(message, self.now)
-        destination.hold.add(message, message.sort_of(turn))
-        self.stir(message.dest)
+        destination.held.add(message, message.group_for(turn))
+        self.mark_changed(message.dest)
         lapse = message.deadline
-        if message.ran_at is not None and message.cls.effect is Effect.KEYED:
-            lapse = min(lapse, message.ran_at + message.cls.key_ttl_us)
+        if message.first_attempt_at is not None and message.cls.effect is Effect.KEYED:
+            lapse = min(lapse, message.first_attempt_at + message.cls.key_ttl_us)
         self.ends.set(message.ref, self.now if self.hopeless(message) else lapse)
 
-    def members(self, event: Members) -> None:
+    def members(self, event: EndpointListUpdate) -> None:
         """Follow the list; an endpoint that drains or is gone gets nothing new from this moment on."""
-        if event.scope is Scope.FAILED:
-            return self.actions.extend(map(Log, self.asking.failed(self.now, self.rng)))
-        self.actions += map(Log, self.asking.listed())
-        named = {m.target for m in event.members}
-        if event.scope is Scope.FULL:
+        if event.scope is UpdateScope.FAILED:
+            return self.actions.extend(map(LogLine, self.list_watch.failed(self.now, self.rng)))
+        self.actions += map(LogLine, self.list_watch.listed())
+        named = {m.target for m in event.entries}
+        if event.scope is UpdateScope.FULL:
             for endpoint in list(self.endpoints.values()):
                 if endpoint.target not in named:
                     self.unlist(endpoint)
-        for member in event.members:
+        for member in event.entries:
             known = self.endpoints.get(member.target)
-            if member.status is not Status.LISTED:
+            if member.status is not EndpointStatus.LISTED:
                 if known is not None:
                     self.unlist(known)
             elif known is None or known.dest != member.dest:
@@ -297,33 +304,33 @@
                     self.unlist(known)
                     self.drop(known)
                 destination = self.destinations[member.dest]
-                self.stir(member.dest)
-                apart = self.settings.kinds.get(member.kind, Kind()).apart
-                gate = (None if apart else destination.gate) or Gate(
-                    self.settings, member.weight, self.usual_rate(), self.now, self.first_token()
+                self.mark_changed(member.dest)
+                apart = self.settings.kinds.get(member.kind, DestinationKind()).apart
+                gate = (None if apart else destination.shared_limit) or SharedLimit(
+                    self.settings, member.weight, self.initial_rate(), self.now, self.first_token()
                 )
                 warm = self.many and any(e.is_warm(self.now) for e in destination.endpoints.values())
                 drawn = warm and self.rng.random() * (len(destination.endpoints) + 1) < 1
-                behind = (destination.turn > 0) / max(1, len(destination.endpoints))  # the last called
-                turn = destination.turn + self.rng.random() * (1 + behind)
-                destination.gate, endpoint = gate, Endpoint(member, gate, self.settings, turn, drawn)
+                behind = (destination.last_turn > 0) / max(1, len(destination.endpoints))  # the last called
+                turn = destination.last_turn + self.rng.random() * (1 + behind)
+                destination.shared_limit, endpoint = gate, Endpoint(member, gate, self.settings, turn, drawn)
                 self.endpoints[member.target] = destination.endpoints[member.target] = endpoint
-                self.digests[digest(member.target)] = endpoint
+                self.digests[endpoint_digest(member.target)] = endpoint
                 self.remember(endpoint)
                 gate.routes += 1
                 self.moved.add(member.dest)
             else:
                 known.listed = True
-                self.stir(known.dest)
-                if not (known.gate.measured or known.gate.limit):
-                    known.gate.weight = max(member.weight, 0.1)
+                self.mark_changed(known.dest)
+                if not (known.shared_limit.measured or known.shared_limit.limit):
+                    known.shared_limit.weight = max(member.weight, 0.1)
                 if self.unlisted.pop(known.target, None) is not None:
-                    known.gate.routes += 1
+                    known.shared_limit.routes += 1
                     self.moved.add(known.dest)
         priced = self.settings.zone and self.settings.crossing_price
         for place in (self.destinations[n] for n in self.moved if priced and n in self.destinations):
             routes = [e for e in place.endpoints.values() if e.listed]
-            share_out(routes, self.settings.zone, self.settings.zones, place.turn)
+            assign_shares(routes, self.settings.zone, self.settings.zones, place.last_turn)
         self.moved.clear()
 
     def first_token(self) -> float:
@@ -338,33 +345,33 @@
         slow starts do not count: what the destination took before is what it takes.
         """
         for endpoint in destination.endpoints.values():
-            gate = endpoint.gate
+            gate = endpoint.shared_limit
             if endpoint.out_since is not None or endpoint.ramp_from is not None:
                 gate.own.at = self.now
             elif gate.measured:
-                gate.weight = max(gate.own.rate(self.now, self.usual_rate()) * self.settings.replicas, 0.1)
+                gate.weight = max(gate.own.rate(self.now, self.initial_rate()) * self.settings.replicas, 0.1)
 
     def outcome(self, event: Outcome) -> None:
         """An attempt has ended: learn from the call once, then settle the message."""
-        call, message = self.attempts.pop((event.ref, event.leg), (None, None))
+        call, message = self.attempts.pop((event.ref, event.attempt_number), (None, None))
         if call is None or message is None:
             return
-        message.out.discard(event.leg)
-        self.stir(call.endpoint.dest)
+        message.attempts_out.discard(event.attempt_number)
+        self.mark_changed(call.endpoint.dest)
         told_until = self.now + event.wait_us + 1 if event.wait_us else 0  # any message may be told (h80106d)
-        call.endpoint.gate.opens_at = max(call.endpoint.gate.opens_at, told_until)
+        call.endpoint.shared_limit.opens_at = max(call.endpoint.shared_limit.opens_at, told_until)
         if event.limit:
-            call.endpoint.gate.reported(event.limit)
+            call.endpoint.shared_limit.reported(event.limit)
         if not call.judged:
             call.judged = True
             self.judge(call, event)
-        del call.open[event.ref, event.leg]
+        del call.open[event.ref, event.attempt_number]
         if not call.open:
-            for calls in (call.endpoint.calls, call.endpoint.gate.calls):
+            for calls in (call.endpoint.calls, call.endpoint.shared_limit.calls):
                 calls.remove(call)
             del self.calls[call]
-            self.lapses.drop(call)
-            for kept in (self.lapsed, self.trials):
+            self.overdue_at.drop(call)
+            for kept in (self.overdue, self.trials):
                 kept.pop(call, None)
             if not (call.endpoint.listed or call.endpoint.calls):
                 self.leaving.set(call.endpoint, self.now)
@@ -373,25 +380,30 @@
                 self.answered[call.endpoint] = None
         self.listen(call.endpoint)
         maybe_ran = event.result not in (Result.OK, Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
-        if maybe_ran and (message.ran_at is None or call.sent_at < message.ran_at):
-            message.ran_at, message.ran_zone = call.sent_at, call.endpoint.zone  # a key lives from here
+        if maybe_ran and (message.first_attempt_at is None or call.sent_at < message.first_attempt_at):
+            message.first_attempt_at, message.first_attempt_zone = (
+                call.sent_at,
+                call.endpoint.zone,
+            )  # a key lives from here
         if message.key is not None:
             line = self.keys[message.key]
-            line.out -= 1
+            line.attempts_out -= 1
             if event.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED) and self.settings.key_rest_us:
                 line.rest_until = self.now + self.settings.key_rest_us
-                self.rests.set(message.key, line.rest_until)
-        if event.over or event.result is Result.OK:
+                self.key_rests.set(message.key, line.rest_until)
+        if event.message_ended or event.result is Result.OK:
             self.end(message)
-        elif message.ref in self.messages and not message.out:
+        elif message.ref in self.messages and not message.attempts_out:
             self.keep(message)
         if message.key is not None:
-            self.line_up(message.key)
+            self.refresh_key(message.key)
 
     def close_idle(self) -> None:
         """Close connections that will hardly be used again while they live."""
         for endpoint in self.answered:
-            if self.trust.too_rare(endpoint.kind, endpoint.part() / self.settings.replicas, self.now):
+            if self.connection_reuse.is_rarely_reused(
+                endpoint.kind, endpoint.part() / self.settings.replicas, self.now
+            ):
                 self.disconnect(endpoint)
         self.answered.clear()
 
@@ -403,22 +415,22 @@
 
     def judge(self, call: Call[Endpoint], event: Outcome) -> None:
         """What the end of a call says of its endpoint and of its destination. One place for both windows."""
-        endpoint, gate, kind, now = call.endpoint, call.endpoint.gate, call.endpoint.kind, self.now
+        endpoint, gate, kind, now = call.endpoint, call.endpoint.shared_limit, call.endpoint.kind, self.now
         evidence = gate.weight / self.settings.replicas * OUT_EVIDENCE_S  # own calls that there may have been
         if event.result in (Result.OK, Result.TIMEOUT):
-            self.zones.setdefault(endpoint.zone, Usual(SMOOTH)).add(event.latency_us)
+            self.zones.setdefault(endpoint.zone, RunningMean(SMOOTH)).add(event.latency_us)
         match event.result:
             case Result.OK:
                 gate.answered()
                 gate.own.count += endpoint.out_since is None and endpoint.ramp_from is None
-                self.trust.answered(kind, call.new)
+                self.connection_reuse.record_answer(kind, call.new)
                 if endpoint.out_since is not None:
-                    self.hearsay.back(endpoint.target)
+                    self.gossip.record_recovery(endpoint.target)
                     self.returned(endpoint, "answers again")
                 elif endpoint.doubted and endpoint.answers_in_doubt(now, call.sent_at, self.proved(endpoint)):
-                    self.hearsay.back(endpoint.target)
+                    self.gossip.record_recovery(endpoint.target)
                     self.actions.append(
-                        Log(
+                        LogLine(
                             f"{endpoint.target}: answers while a sibling is out, slow start; "
                             f"destination {endpoint.dest}, {self.share_text(endpoint)}"
                         )
@@ -428,11 +440,11 @@
                 endpoint.window.grow(len(endpoint.calls))
             case Result.FULL:
                 gate.window.cut(now, call.sent_at)
-                self.refusals.setdefault(endpoint.zone, Usual(SMOOTH)).add(event.latency_us)
-                short = not event.wait_us and self.trust.refused(kind, call.new, now)
+                self.refusals.setdefault(endpoint.zone, RunningMean(SMOOTH)).add(event.latency_us)
+                short = not event.wait_us and self.connection_reuse.record_refusal(kind, call.new, now)
                 known = call.sent_at <= gate.refused_at
-                self.hearsay.refused(endpoint.dest, event.wait_us, short, known, now)
-                taken_at = min((m.taken_at for m in call.open.values()), default=now)
+                self.gossip.record_refusal(endpoint.dest, event.wait_us, short, known, now)
+                taken_at = min((m.accepted_at for m in call.open.values()), default=now)
                 crowd, _ = self.crowd(endpoint, taken_at)
                 gate.refused(now, call.sent_at, event.wait_us, crowd, short, self.rng)
                 self.shut(endpoint, event.wait_us)
@@ -445,13 +457,13 @@
             ):
                 # A connection dropped unseen while idle looks like this, where others are answered or own
                 # calls are too rare to tell. A new one tells more: a hang is noticed one call later.
-                self.trust.dropped(kind, call.idle_us)
+                self.connection_reuse.record_drop(kind, call.idle_us)
                 self.disconnect(endpoint)
             case Result.CANCELLED if endpoint.out_since is not None:  # as good as a failure: it has hung
                 endpoint.proved = True
             case Result.ERROR | Result.TIMEOUT | Result.RESET | Result.CONNECT_FAILED:
                 if event.result is Result.CONNECT_FAILED and endpoint.row == 0:  # down, or no connection left
-                    self.trust.dropped(kind)
+                    self.connection_reuse.record_drop(kind)
                 endpoint.failed(now, call.sent_at)
                 endpoint.window.cut(now, call.sent_at)
                 if event.result is Result.ERROR:
@@ -464,7 +476,7 @@
     def together_with(self, endpoint: Endpoint) -> list[Endpoint]:
         """The endpoints that share its limit, and so its outages, itself included."""
         others = self.destinations[endpoint.dest].endpoints.values()
-        return [other for other in others if other.gate is endpoint.gate]
+        return [other for other in others if other.shared_limit is endpoint.shared_limit]
 
     def proved(self, endpoint: Endpoint) -> bool:
         """Whether a call has failed in the outage of its destination, which may just be slow otherwise."""
@@ -487,13 +499,13 @@
             self.listen(other)
             start = "slow start" if proved else "no slow start, no call had failed"
             self.actions.append(
-                Log(
+                LogLine(
                     f"{other.target}: {cause}, {start}; destination {other.dest}, out for "
-                    f"{(self.now - since) / SECOND:.1f} s, {other.trials_sent} trials, "
+                    f"{(self.now - since) / SECOND_US:.1f} s, {other.trials_sent} trials, "
                     f"{self.share_text(other)}"
                 )
             )
-        self.stir(endpoint.dest)
+        self.mark_changed(endpoint.dest)
 
     def doubt(self, endpoint: Endpoint) -> None:
         """An endpoint is out, and an outage mostly takes all of a destination: siblings without an answer
@@ -509,7 +521,7 @@
         """After a wait longer than any limit needs, it comes back cold, to all whom it has told at once."""
         if wait_us >= self.settings.fall_us:
             for other in self.together_with(endpoint):
-                other.begin_cold(self.now, other.gate.opens_at, self.rng)
+                other.begin_cold(self.now, other.shared_limit.opens_at, self.rng)
                 self.recovering[other] = None
 
     def out(self, endpoint: Endpoint, why: str, since: int) -> None:
@@ -521,10 +533,10 @@
             if endpoint.row == 0:
                 endpoint.row_since = since
             self.doubt(endpoint)
-            self.stir(endpoint.dest)
-            next_s = (endpoint.next_send(self.now, None) - self.now) / SECOND
+            self.mark_changed(endpoint.dest)
+            next_s = (endpoint.next_send(self.now, None) - self.now) / SECOND_US
             self.actions.append(
-                Log(
+                LogLine(
                     f"{endpoint.target}: out, {why}; destination {endpoint.dest}, "
                     f"next trial in {next_s:.1f} s, {self.share_text(endpoint)}"
                 )
@@ -533,7 +545,7 @@
     def share_text(self, endpoint: Endpoint) -> str:
         """For the log: with how many senders a cold endpoint's budget is shared, and how that is known."""
         crowd, heard = self.crowd(endpoint, self.now)
-        if not (heard and self.hearsay.informed(self.now)):
+        if not (heard and self.gossip.informed(self.now)):
             return f"shared evenly by {self.settings.replicas} senders"
         return f"shared with {crowd - 1:.1f} of {self.settings.replicas - 1} others as heard"
 
@@ -544,7 +556,7 @@
                 del self.recovering[endpoint]
         return tuple(endpoint.known(endpoint.target) for endpoint in self.recovering)
 
-    def recall(self, event: Recalled) -> None:
+    def recall(self, event: OutagesRestored) -> None:
         """Take over what the process before this one knew, also of endpoints that are not listed yet.
 
         Answers restarts in an outage: each process called at once, and that of a whole fleet is more than an
@@ -561,7 +573,7 @@
             endpoint.recall(self.now, outage, self.rng)
             self.recovering[endpoint] = None
             self.actions.append(
-                Log(
+                LogLine(
                     f"{endpoint.target}: {'out' if outage.back_at is None else 'cold'} "
                     f"as it was known before; destination {endpoint.dest}, {self.share_text(endpoint)}"
                 )
@@ -573,12 +585,12 @@
             if endpoint.out_since is None and self.now >= endpoint.silent_at():
                 endpoint.window.cut(self.now, endpoint.calls[0].sent_at)
                 self.out(endpoint, "silent", endpoint.calls[0].sent_at)
-        for call in self.lapses.due(self.now):
+        for call in self.overdue_at.due(self.now):
             if (lapse := call.sent_at + int(call.endpoint.silence_us()) + 1) > self.now:
-                self.lapses.set(call, lapse)  # the usual time has grown meanwhile
+                self.overdue_at.set(call, lapse)  # the usual time has grown meanwhile
                 continue
-            self.lapsed[call] = None
-            self.stir(call.endpoint.dest)  # it may hold no permit any more
+            self.overdue[call] = None
+            self.mark_changed(call.endpoint.dest)  # it may hold no permit any more
 
     def listen(self, endpoint: Endpoint) -> None:
         """Its calls or its usual time have changed: note when silence will be a symptom."""
@@ -586,22 +598,22 @@
             self.silences.set(endpoint, at)
         else:
             self.silences.drop(endpoint)
-        if endpoint.calls and endpoint.calls[0] not in self.lapsed:
-            self.lapses.set(endpoint.calls[0], endpoint.calls[0].sent_at + int(endpoint.silence_us()) + 1)
+        if endpoint.calls and endpoint.calls[0] not in self.overdue:
+            self.overdue_at.set(endpoint.calls[0], endpoint.calls[0].sent_at + int(endpoint.silence_us()) + 1)
 
     def hopeless(self, message: Message) -> bool:
         """The one place that decides whether a message may go again (True: never)."""
-        effect, ran_at = message.cls.effect, message.ran_at
+        effect, ran_at = message.cls.effect, message.first_attempt_at
         repeat = (
             ran_at is None
             or effect is Effect.SAFE
             or (effect is Effect.KEYED and self.now < ran_at + message.cls.key_ttl_us)
         )
-        return message.legs >= self.settings.try_limit or not repeat
+        return message.attempts_made >= self.settings.try_limit or not repeat
 
     def gate_opens(self, endpoint: Endpoint) -> int:
         """The one place that decides whether, and when, an endpoint may be sent to."""
-        gate, now = endpoint.gate, self.now
+        gate, now = endpoint.shared_limit, self.now
         if not endpoint.listed or gate.opens_at > now:
             return gate.opens_at if endpoint.listed else NEVER
         if endpoint.out_since is not None:
@@ -609,7 +621,7 @@
                 return NEVER
             slots = self.settings.slots
             if len(self.calls) > slots * SCARCE and len(self.trials) >= max(1, int(slots * TRIAL_SHARE)):
-                return max(self.now + int(TRIAL_LEAST_S * SECOND), endpoint.next_send(now, None))
+                return max(self.now + int(TRIAL_LEAST_S * SECOND_US), endpoint.next_send(now, None))
         elif (
             full(gate.window, gate.calls, now)
             or full(endpoint.window, endpoint.calls, now)
@@ -617,16 +629,16 @@
         ):
             lapse = (c.sent_at + int(c.endpoint.silence_us()) + 1 for c in gate.calls)
             return min((at for at in lapse if at > now), default=NEVER)
-        crowd, heard = self.crowd(endpoint, self.destinations[endpoint.dest].hold.since)
-        informed = heard and self.hearsay.informed(now)
+        crowd, heard = self.crowd(endpoint, self.destinations[endpoint.dest].held.since)
+        informed = heard and self.gossip.informed(now)
         return max(gate.next_token(now, crowd, heard), endpoint.next_send(now, crowd if informed else None))
 
     def crowd(self, endpoint: Endpoint, since: int) -> tuple[float, bool]:
         """By how many a pace is shared, and whether that has been heard from them or is a guess."""
-        held = len(self.destinations[endpoint.dest].hold)
-        guess = endpoint.gate.crowd(self.now - since)
-        heard = self.hearsay.crowd(endpoint.dest, held, self.now, guess)
-        if endpoint.gate.many:  # guessed to have a message each, where this one has so many
+        held = len(self.destinations[endpoint.dest].held)
+        guess = endpoint.shared_limit.crowd(self.now - since)
+        heard = self.gossip.active_senders(endpoint.dest, held, self.now, guess)
+        if endpoint.shared_limit.many:  # guessed to have a message each, where this one has so many
             guess = max(1.0, guess / max(1, held))
         return heard or guess, heard is not None
 
@@ -643,20 +655,20 @@
         if len(routes) > 1:
             seen = ((e.latency(now), e.usual.error() * self.many) for e in routes if e.usual.mean)
             quick = min(seen, key=sum, default=(1.0, 0.0))
-            for passed in (e for e in routes if e.turn <= destination.turn):
-                passed.turn = destination.turn + self.rng.random() * passed.stride
-            more = self.many and (sum(e.is_warm(now) for e in routes) + 1) * REUSE * SECOND <= (
+            for passed in (e for e in routes if e.turn <= destination.last_turn):
+                passed.turn = destination.last_turn + self.rng.random() * passed.stride
+            more = self.many and (sum(e.is_warm(now) for e in routes) + 1) * REUSE * SECOND_US <= (
                 destination.rate * self.settings.keepalive_us
             )
             routes.sort(key=lambda e: (e.rank(now, more) + self.distance(e, quick), e.turn))
         drain_us = self.drain_us(destination) if routes else 0
         best: tuple[int, float] | None = None
-        for cls, zone, line in destination.hold.sendable() if routes else ():
+        for cls, zone, line in destination.held.sendable() if routes else ():
             if (route := next((e for e in routes if zone in ("", e.zone)), None)) is None:
                 continue
             trial = 0 if route.out_since is None else TRIAL_ORDER.index(cls.effect)
             answer, late = now + int(route.usual.mean), now + self.refusal_us(route)
-            for message in line.around(turns(cls, answer, drain_us, self.settings.halves)):
+            for message in line.around(urgency_breakpoints(cls, answer, drain_us, self.settings.halves)):
                 if message.deadline <= late:
                     continue  # given up with its answer on the way, it hears no wait that this tells
                 key = trial, self.urgency(message, answer, drain_us)
@@ -675,7 +687,7 @@
         Answers zones that are far or have turned slow: a forwarder that calls each endpoint rarely learns it
         from the others there. It hurts where one slow destination makes up most of a zone's calls.
         """
-        apart = self.settings.kinds.get(endpoint.kind, Kind()).apart
+        apart = self.settings.kinds.get(endpoint.kind, DestinationKind()).apart
         against = FEE * self.settings.zone_fees.get(endpoint.zone, 0.0) if apart else 0.0
         if not endpoint.share:
             against += CROSSING * self.settings.crossing_price
@@ -689,9 +701,9 @@
 
     def drain_us(self, destination: Destination) -> int:
         """How long the hold of a destination needs to drain, as its limits and its other senders stand."""
-        since, routes = destination.hold.since, destination.endpoints.values()
-        rate = sum((e.gate.pace or e.part()) / self.crowd(e, since)[0] for e in routes)
-        return int(min(max(HORIZON_S, len(destination.hold) / max(rate, 0.1)), DRAIN_MOST_S) * SECOND)
+        since, routes = destination.held.since, destination.endpoints.values()
+        rate = sum((e.shared_limit.pace or e.part()) / self.crowd(e, since)[0] for e in routes)
+        return int(min(max(HORIZON_S, len(destination.held) / max(rate, 0.1)), DRAIN_MOST_S) * SECOND_US)
 
     def urgency(self, message: Message, answer: int, drain_us: int) -> float:
         """Worth lost if this message waits for the time that the hold needs to drain."""
@@ -705,32 +717,32 @@
         """Pick at a destination anew, and rank it among those that are ready."""
         if (destination := self.waiting.get(number)) is None:
             self.ready.drop(number)
-            self.opens.drop(number)
+            self.openings.drop(number)
             return
         self.pick(destination)
         if destination.choice is None:
             self.ready.drop(number)
-            self.opens.set(number, destination.opens_at)
+            self.openings.set(number, destination.opens_at)
         else:
             self.ready.set(number, (-destination.choice[0], number), self.now)
-            self.opens.drop(number)
+            self.openings.drop(number)
 
     def dispatch(self) -> None:
         """Send while slots and permits last, the most urgent message of all destinations first."""
-        if len(self.calls) >= self.settings.slots and not self.lapsed:
+        if len(self.calls) >= self.settings.slots and not self.overdue:
             return  # nothing can go, and no call is out for so long that it may be called off
-        for number in dict.fromkeys([*islice(self.stirred, STIRRED), *self.opens.due(self.now)]):
-            self.stirred.pop(number, None)
+        for number in dict.fromkeys([*islice(self.changed, STIRRED), *self.openings.due(self.now)]):
+            self.changed.pop(number, None)
             self.look(number)
         stale = self.now - STANDS_US  # urgencies drift: the first picks and those in turn are looked at anew
         self.ready.refresh(stale, IN_TURN, self.look)
         while len(self.calls) < self.settings.slots:
-            if (first := self.ready.fresh_first(stale, LOOKS, self.look)) is None:
+            if (first := self.ready.first_refreshed(stale, LOOKS, self.look)) is None:
                 break
             destination = self.destinations[first]
             if destination.choice is not None:
                 self.send(destination, *destination.choice[1:])
-            self.stirred.pop(first, None)
+            self.changed.pop(first, None)
             self.look(first)
         self.reclaim()
 
@@ -741,10 +753,10 @@
         hurts where the late answers would have come: what may not go again elsewhere is given longer.
         """
         now, stuck = self.now, list[tuple[bool, int, int, Call[Endpoint]]]()
-        choices = (self.destinations[n].choice for n in self.ready) if self.lapsed else ()
+        choices = (self.destinations[n].choice for n in self.ready) if self.overdue else ()
         sound = (c for c in choices if c is not None and c[2].out_since is None)
-        wanted = sum(1 for _ in islice(sound, len(self.lapsed)))
-        for call in (c for c in self.lapsed if wanted and not c.called_off):
+        wanted = sum(1 for _ in islice(sound, len(self.overdue)))
+        for call in (c for c in self.overdue if wanted and not c.called_off):
             unsafe = any(m.cls.effect is Effect.UNSAFE or m.cls.same_zone for m in call.open.values())
             out, lost = call.endpoint.out_since is not None, call.endpoint.answered_at > call.sent_at
             patience = call.endpoint.silence_us() * (STUCK_SILENCES if unsafe else 1)
@@ -756,9 +768,9 @@
 
     def send(self, destination: Destination, first: Message, endpoint: Endpoint) -> None:
         """Start one call, with as many messages as travel together."""
-        trial, gate = endpoint.out_since is not None, endpoint.gate
+        trial, gate = endpoint.out_since is not None, endpoint.shared_limit
         if self.many:  # each of few keeps its lot: they spread by it, and by what each sees of all
-            destination.turn, endpoint.drawn = endpoint.turn, False
+            destination.last_turn, endpoint.drawn = endpoint.turn, False
             endpoint.turn += endpoint.stride
         call = Call(endpoint, self.now, not endpoint.warm and not endpoint.shares_connection())
         if gate.pace is not None:
@@ -768,26 +780,26 @@
             self.trials[call] = None
         if endpoint.warm and not endpoint.shares_connection():
             call.idle_us = self.now - endpoint.warm[0]
-            if call.idle_us > self.trust.us[endpoint.kind]:
+            if call.idle_us > self.connection_reuse.idle_limit_us[endpoint.kind]:
                 self.disconnect(endpoint)
                 call.idle_us, call.new = 0, True
             endpoint.warm = endpoint.warm[:-1]
         endpoint.calls.append(call)
         gate.calls.append(call)
         self.calls[call] = None
-        batch = 1 if trial else self.settings.kinds.get(endpoint.kind, Kind()).batch
+        batch = 1 if trial else self.settings.kinds.get(endpoint.kind, DestinationKind()).batch
         for message in self.together(first, endpoint, destination, batch):
-            leg, message.legs = message.legs, message.legs + 1
+            leg, message.attempts_made = message.attempts_made, message.attempts_made + 1
             call.open[message.ref, leg] = message
-            message.out.add(leg)
+            message.attempts_out.add(leg)
             self.attempts[message.ref, leg] = call, message
             if message.key is not None:
-                self.keys[message.key].out += 1
+                self.keys[message.key].attempts_out += 1
             timeout = message.deadline - self.now
             if message.cls.effect is not Effect.UNSAFE:
                 timeout = min(timeout, int(endpoint.silence_us() * TIMEOUT_SILENCES))
             self.actions.append(Send(message.ref, endpoint.target, max(1, timeout)))
-        self.lapses.set(call, self.now + int(endpoint.silence_us()) + 1)
+        self.overdue_at.set(call, self.now + int(endpoint.silence_us()) + 1)
         self.listen(endpoint)
 
     def together(
@@ -796,12 +808,12 @@
         """What goes in one call, taken out of the hold: the choice, and the most urgent that may join it."""
         taken, answer, drain_us = [first], self.now + int(endpoint.usual.mean), self.drain_us(destination)
         self.release(first)
-        while len(taken) < most and destination.hold:
+        while len(taken) < most and destination.held:
             others = [
                 m
-                for cls, zone, line in destination.hold.sendable()
+                for cls, zone, line in destination.held.sendable()
                 if zone in ("", endpoint.zone)
-                for m in line.around(turns(cls, answer, drain_us, self.settings.halves))
+                for m in line.around(urgency_breakpoints(cls, answer, drain_us, self.settings.halves))
             ]
             if not others:
                 break
@@ -814,7 +826,7 @@
         for ref in self.ends.due(self.now):
             if (message := self.messages.get(ref)) is None:
                 continue
-            if self.now >= message.deadline or (not message.out and self.hopeless(message)):
+            if self.now >= message.deadline or (not message.attempts_out and self.hopeless(message)):
                 self.give_up(message)
             else:
                 self.ends.set(ref, message.deadline)
@@ -832,7 +844,7 @@
             del self.unweighed[stirred]
             self.weigh(stirred)
         while len(self.messages) > self.settings.most_held * HOLD_FULL:
-            if (number := self.spare.fresh_first(self.now - 1, LOOKS, self.weigh)) is None:
+            if (number := self.spare.first_refreshed(self.now - 1, LOOKS, self.weigh)) is None:
                 return
             if (least := self.least(self.destinations[number])) is not None:
                 self.give_up(least)
@@ -853,7 +865,7 @@
         """
         drained, halves = self.now + self.drain_us(destination), self.settings.halves
         spare = list[Message]()
-        for line in destination.hold.refusable():
+        for line in destination.held.refusable():
             late, losing = line.before(drained), line[0].aim_at < drained
             spare.append(line[late - 1] if late else line[0] if losing else line[-1])
         return min(spare, key=lambda m: (m.value(drained, halves), -m.deadline), default=None)
@@ -862,14 +874,16 @@
         """A refusal promises that coming again is safe."""
         cls = message.cls
         repeatable = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and not cls.same_zone)
-        return not message.out and (message.ran_at is None or repeatable)
+        return not message.attempts_out and (message.first_attempt_at is None or repeatable)
 
     def give_up(self, message: Message) -> None:
         """The final answer, at once: a refusal with a come-back time where that is safe, else a failure."""
         if self.may_refuse(message):
             endpoints = self.destinations[message.dest].endpoints.values()
-            wait = min((e.gate.opens_at for e in endpoints), default=0) - self.now
-            self.actions.append(Refuse(message.ref, min(max(wait, SECOND), self.settings.max_come_back_us)))
+            wait = min((e.shared_limit.opens_at for e in endpoints), default=0) - self.now
+            self.actions.append(
+                Refuse(message.ref, min(max(wait, SECOND_US), self.settings.max_come_back_us))
+            )
         else:
             self.actions.append(Fail(message.ref))
         self.end(message)
@@ -877,11 +891,11 @@
     def arm(self) -> None:
         """Keep one timer armed for the next thing due."""
         full = len(self.calls) >= self.settings.slots
-        agendas = self.ends, self.silences, self.rests, self.lapses if full else self.opens
-        due = [self.asking.at, self.hearsay.next_at()]
+        agendas = self.ends, self.silences, self.key_rests, self.overdue_at if full else self.openings
+        due = [self.list_watch.next_request_at, self.gossip.next_at()]
         due += [at for a in agendas if (at := a.next_at()) is not None]
-        due += [self.now + 1] if self.stirred and not full else []
+        due += [self.now + 1] if self.changed and not full else []
         soonest = min((t for t in due if t > self.now), default=NEVER)
         if soonest < self.armed_for and soonest < NEVER:
             self.token, self.armed_for = self.token + 1, soonest
-            self.actions.append(Arm(soonest - self.now, self.token))
+            self.actions.append(ArmTimer(soonest - self.now, self.token))
--- a/rowanspindle/notes.py
+++ b/rowanspindle/notes.py
@@ -11,13 +11,13 @@
 from zlib import crc32
 
 VERSION = 0xA1
-MOST_BYTES = 256
-HEAD = 2  # bytes before the facts
-NUMBERS = 256  # running numbers, before they begin again
-WHERE_MOST, VALUE_MOST = (1 << 32) - 1, (1 << 14) - 1
+MAX_NOTE_BYTES = 256
+HEADER_BYTES = 2  # bytes before the facts
+SEQUENCE_NUMBERS = 256  # running numbers, before they begin again
+MAX_SUBJECT, MAX_VALUE = (1 << 32) - 1, (1 << 14) - 1
 
 
-class What(IntEnum):
+class FactKind(IntEnum):
     """What a fact says, of a destination if nothing else is said."""
 
     WORK = 1  # so many messages wait for it here
@@ -29,8 +29,8 @@
 class Fact(NamedTuple):
     """One thing that a sender has seen."""
 
-    what: What
-    where: int
+    kind: FactKind
+    subject: int
     value: int = 0
 
 
@@ -41,7 +41,7 @@
     facts: tuple[Fact, ...]
 
 
-def digest(name: str) -> int:
+def endpoint_digest(name: str) -> int:
     """The number that an endpoint's name has in notes. Of two that share one, seldom, one is not heard of."""
     return crc32(name.encode())
 
@@ -60,33 +60,33 @@
     return bytes(out)
 
 
-def packed(fact: Fact) -> bytes:
+def encode_fact(fact: Fact) -> bytes:
     """One fact."""
-    return bytes([fact.what]) + varint(fact.where) + varint(fact.value)
+    return bytes([fact.kind]) + varint(fact.subject) + varint(fact.value)
 
 
-def write(note: Note) -> bytes:
+def encode_note(note: Note) -> bytes:
     """A note's bytes. Raises ValueError if it is too long."""
-    data = bytes([VERSION, note.number]) + b"".join(map(packed, note.facts))
-    if len(data) > MOST_BYTES:
-        raise ValueError(f"a note of {len(data)} bytes, {MOST_BYTES} at most")
+    data = bytes([VERSION, note.number]) + b"".join(map(encode_fact, note.facts))
+    if len(data) > MAX_NOTE_BYTES:
+        raise ValueError(f"a note of {len(data)} bytes, {MAX_NOTE_BYTES} at most")
     return data
 
 
-def read(data: bytes) -> Note:
+def decode_note(data: bytes) -> Note:
     """The note in some bytes, whole. Raises NoteError."""
-    if not HEAD < len(data) <= MOST_BYTES:
+    if not HEADER_BYTES < len(data) <= MAX_NOTE_BYTES:
         raise NoteError(f"{len(data)} bytes")
     if data[0] != VERSION:
         raise NoteError(f"version {data[0]}")
-    facts, at = list[Fact](), HEAD
+    facts, at = list[Fact](), HEADER_BYTES
     while at < len(data):
         try:
-            what = What(data[at])
+            what = FactKind(data[at])
         except ValueError:
             raise NoteError(f"fact {data[at]}") from None
-        where, at = _number(data, at + 1, WHERE_MOST)
-        value, at = _number(data, at, VALUE_MOST)
+        where, at = _number(data, at + 1, MAX_SUBJECT)
+        value, at = _number(data, at, MAX_VALUE)
         facts.append(Fact(what, where, value))
     return Note(data[1], tuple(facts))
 
--- a/rowanspindle/pacing.py
+++ b/rowanspindle/pacing.py
@@ -11,15 +11,20 @@
 from typing import TYPE_CHECKING
 
 from rowanspindle.api import Settings
-from rowanspindle.hearsay import MOST_SENDERS
-from rowanspindle.held import GUESS, MEMORY_S
-from rowanspindle.order import Bucket, Meter, Window, crowd
+from rowanspindle.data_structures import (
+    ConcurrencyWindow,
+    RateEstimator,
+    TokenBucket,
+    estimate_active_senders,
+)
+from rowanspindle.gossip import MAX_SENDERS_ALL_TELL
+from rowanspindle.held_messages import INITIAL_RATE_WEIGHT, RATE_MEMORY_S
 
 if TYPE_CHECKING:
     from rowanspindle.logic import Endpoint
     from rowanspindle.state import Call
 
-SECOND = 1_000_000  # microseconds
+SECOND_US = 1_000_000
 
 FLOOR = 1.0  # every window lets one call out, as in Dialogue; outages and waits are guarded elsewhere
 START_LEAST = 3.0  # calls of a first window, and one second of own calls: enough for a healthy destination
@@ -48,15 +53,17 @@
 JITTER = 0.25  # part of a wait or backoff by which its end is spread
 
 
-class Gate:
+class SharedLimit:
     """What shares one limit: a destination, or a single route where routes are apart."""
 
     def __init__(self, settings: Settings, rate: float, own: float, now: int, token: float = 1.0) -> None:
-        self.replicas, self.own = settings.replicas, Meter(now, MEMORY_S, GUESS)
+        self.replicas, self.own = settings.replicas, RateEstimator(now, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
         self.measured = rate <= 0 or not settings.weights_told
         self.weight = max(own * self.replicas if self.measured else rate, 0.1)
         most = max(2.0, settings.slots * SLOT_SHARE)
-        self.window = Window(START_LEAST + self.weight / self.replicas, most, FLOOR, CUT)  # and a second's
+        self.window = ConcurrencyWindow(
+            START_LEAST + self.weight / self.replicas, most, FLOOR, CUT
+        )  # and a second's
         self.calls: list[Call[Endpoint]] = []
         self.routes, self.limit = 0, 0.0  # endpoints listed that share it, and the limit that reports tell
         self.opens_at, self.refusals, self.refused_at = 0, 0, -1
@@ -64,19 +71,21 @@
         told = settings.weights_exact and settings.refused_price > 0 and not self.measured
         self.pace: float | None = self.weight if told else None
         self.most = self.weight if told else math.inf
-        self.bucket, self.by_time, self.risen_at = Bucket(token), False, now
-        self.many = settings.replicas > MOST_SENDERS  # each hears of some others' work, or of none
+        self.bucket, self.by_time, self.risen_at = TokenBucket(token), False, now
+        self.many = settings.replicas > MAX_SENDERS_ALL_TELL  # each hears of some others' work, or of none
 
     def crowd(self, age_us: int) -> float:
         """How many forwarders have work here, this one among them, where work has waited so long."""
-        return crowd(self.replicas, self.weight, max(age_us, int(EVEN_S * SECOND)) if self.limit else age_us)
+        return estimate_active_senders(
+            self.replicas, self.weight, max(age_us, int(EVEN_S * SECOND_US)) if self.limit else age_us
+        )
 
     def next_token(self, now: int, crowd: float, heard: bool) -> int:
         """When the pace lets the next call go, shared with the others that have work. Where their refusals
         are heard, time without any lifts it."""
         self.by_time = heard and self.most < math.inf
         if self.by_time and self.pace is not None:
-            quiet, gone = (now - self.refused_at) / SECOND, (now - self.risen_at) / SECOND
+            quiet, gone = (now - self.refused_at) / SECOND_US, (now - self.risen_at) / SECOND_US
             risen = self.pace + self.weight * HEARD_RISE * (1 + quiet) * gone
             self.pace = min(self.most * HEARD_MOST, risen)
         self.risen_at = now
@@ -103,15 +112,15 @@
         burst = sent_at <= self.refused_at  # calls that were out together are refused together: one symptom
         self.refused_at = now
         self.refusals += not burst
-        wait = wait_us or BACKOFF_S * SECOND * 2 ** min(self.refusals - 1, 3)
+        wait = wait_us or BACKOFF_S * SECOND_US * 2 ** min(self.refusals - 1, 3)
         if short and self.refusals <= SHORT_REFUSALS:  # no connection was left: no limit is evident
             self.opens_at = max(self.opens_at, now + int(wait * (0.5 + rng.random())))
             return
         if not burst:
             self.slow_down()
         crowd = min(self.replicas, max(crowd, 2 ** min(self.refusals, 8)))
-        others = (crowd - 1) / (self.pace or self.weight) * SECOND
-        spread = max(min(wait, BACKOFF_S * SECOND * 2) * JITTER, others) * rng.random()
+        others = (crowd - 1) / (self.pace or self.weight) * SECOND_US
+        spread = max(min(wait, BACKOFF_S * SECOND_US * 2) * JITTER, others) * rng.random()
         self.opens_at = max(self.opens_at, now + int(wait + spread) + 1)
         self.bucket.tokens, self.bucket.filled_at = min(self.bucket.tokens, 1.0), now
 
--- a/rowanspindle/drill.py
+++ b/rowanspindle/simulator_adapter.py
@@ -7,16 +7,16 @@
 from typing import TextIO
 
 from rowanspindle import wire
-from rowanspindle.api import Event, Member, Members
+from rowanspindle.api import EndpointEntry, EndpointListUpdate, Event
 from rowanspindle.logic import Forwarder
 
 
-class Drill:
+class SimulatorAdapter:
     """The forwarders of one process; they share nothing but the numbered lists read from the wire."""
 
     def __init__(self) -> None:
         self.forwarders: dict[str, Forwarder] = {}
-        self.lists: dict[int, tuple[Member, ...]] = {}
+        self.lists: dict[int, tuple[EndpointEntry, ...]] = {}
         self.batch: dict[str, list[Event]] = {}
         self.name: str | None = None
         self.line_number = 0
@@ -94,22 +94,22 @@
         else:
             raise wire.WireError(f"unknown message {word!r}")
 
-    def entry(self, source: TextIO) -> Member:
+    def entry(self, source: TextIO) -> EndpointEntry:
         """The next line, which must be an entry of a numbered list."""
         line = self.line(source)
         if line is None or line.split(" ", 1)[0] != "ENTRY":
             raise wire.WireError("an ENTRY is missing from a list")
         return wire.parse_entry(line)
 
-    def members(self, line: str) -> Members:
+    def members(self, line: str) -> EndpointListUpdate:
         """News of the list, with the entries of its numbered list."""
         word, _version, slot = wire.fields(line, 3)
         scope = wire.pick(wire.SCOPES, word, "scope")
         if word == "failed":
-            return Members(scope)
-        return Members(scope, self.listed(wire.whole(slot)))
+            return EndpointListUpdate(scope)
+        return EndpointListUpdate(scope, self.listed(wire.whole(slot)))
 
-    def listed(self, slot: int) -> tuple[Member, ...]:
+    def listed(self, slot: int) -> tuple[EndpointEntry, ...]:
         """The entries of a numbered list."""
         if slot not in self.lists:
             raise wire.WireError(f"unknown list {slot}")
@@ -120,7 +120,7 @@
     """Run the adapter on standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
-    drill = Drill()
+    drill = SimulatorAdapter()
     try:
         drill.run(sys.stdin, sys.stdout)
     except (ValueError, UnicodeError) as error:
--- a/rowanspindle/slow_start.py
+++ b/rowanspindle/slow_start.py
@@ -11,10 +11,10 @@
 from random import Random
 
 from rowanspindle.api import Outage, Settings
-from rowanspindle.held import NEVER
-from rowanspindle.order import Bucket
+from rowanspindle.data_structures import TokenBucket
+from rowanspindle.held_messages import NEVER
 
-SECOND = 1_000_000  # microseconds
+SECOND_US = 1_000_000
 
 TRIAL_LEAST_S = 0.5  # seconds between trials of an endpoint in an outage, at least
 TRIAL_MOST_S = 2.0  # and at most, or for each forwarder TRIAL_EACH_S: the return must be noticed
@@ -24,7 +24,7 @@
 BUDGET_USED = 0.75  # part of what a cold endpoint bears that is used: rough rates may be half too high
 
 
-class Recovery:
+class OutageState:
     """The outage of one endpoint and the slow start behind it."""
 
     def __init__(self, settings: Settings) -> None:
@@ -33,7 +33,7 @@
         self.struck_at = 0
         self.proved = False  # a call has failed in this outage: it is not just slow
         self.ramp_from: int | None = None
-        self.ramp = Bucket(0.0)
+        self.ramp = TokenBucket(0.0)
         self.sound_until = 0  # an answer to a call from before shows that it never went out with its siblings
         self.trials_sent = self.cold_calls = 0  # in this outage, and in the slow start behind it: for the log
 
@@ -99,7 +99,7 @@
 
     def recall(self, now: int, outage: Outage, rng: Random) -> None:
         """What the process before this one knew: it is cold, or may be out still, as one call will show."""
-        self.struck_at, self.proved = outage.struck_at, True
+        self.struck_at, self.proved = outage.began_at, True
         self.ramp_from, self.sound_until = NEVER if outage.back_at is None else outage.back_at, now
         self.ramp.tokens, self.ramp.filled_at = rng.random(), now
 
--- a/rowanspindle/state.py
+++ b/rowanspindle/state.py
@@ -8,22 +8,29 @@
 from typing import Generic, Protocol, TypeVar
 
 from rowanspindle.api import Action, Outage, Settings
-from rowanspindle.asking import Asking
-from rowanspindle.hearsay import Hearsay
-from rowanspindle.held import GUESS, MEMORY_S, NEVER, KeyLine, Message, Place
-from rowanspindle.notes import digest
-from rowanspindle.order import Agenda, Bucket, Meter, Ranking, Usual
-from rowanspindle.trust import Trust
-
-
-class Shared(Protocol):
+from rowanspindle.connection_reuse import ConnectionReuse
+from rowanspindle.data_structures import DeadlineQueue, PriorityQueue, RateEstimator, RunningMean, TokenBucket
+from rowanspindle.gossip import Gossip
+from rowanspindle.held_messages import (
+    INITIAL_RATE_WEIGHT,
+    NEVER,
+    RATE_MEMORY_S,
+    DestinationState,
+    KeyQueue,
+    Message,
+)
+from rowanspindle.list_watch import ListWatch
+from rowanspindle.notes import endpoint_digest
+
+
+class TrackedLimit(Protocol):
     """What endpoints share, as far as it is kept here."""
 
     routes: int
     opens_at: int
 
 
-class Kept(Hashable, Protocol):
+class TrackedEndpoint(Hashable, Protocol):
     """An endpoint, as far as it is kept here."""
 
     target: str
@@ -32,7 +39,7 @@
     failed_at: int
 
     @property
-    def gate(self) -> Shared:
+    def shared_limit(self) -> TrackedLimit:
         """What it shares with others of its destination."""
 
     @property
@@ -46,10 +53,10 @@
         """What is known of its outage."""
 
 
-E = TypeVar("E", bound=Kept)
+E = TypeVar("E", bound=TrackedEndpoint)
 G = TypeVar("G")
 
-SECOND = 1_000_000  # microseconds
+SECOND_US = 1_000_000
 QUOTA_BURST_S = 2.0  # seconds of a tenant's quota that it may hand in at once
 
 
@@ -64,7 +71,7 @@
         self.open: dict[tuple[int, int], Message] = {}
 
 
-class State(Generic[E, G]):
+class ForwarderState(Generic[E, G]):
     """All that a forwarder knows, as it stands."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -73,65 +80,73 @@
         self.now, self.actions = 0, list[Action]()
         self.messages: dict[int, Message] = {}
         self.attempts: dict[tuple[int, int], tuple[Call[E], Message]] = {}
-        self.destinations: defaultdict[int, Place[E, G]] = defaultdict(Place)
+        self.destinations: defaultdict[int, DestinationState[E, G]] = defaultdict(DestinationState)
         self.endpoints: dict[str, E] = {}
         self.digests: dict[int, E] = {}  # by what notes call them
-        self.keys: dict[str, KeyLine] = {}
+        self.keys: dict[str, KeyQueue] = {}
         self.calls: dict[Call[E], None] = {}
         self.trials: dict[Call[E], None] = {}  # those of them to endpoints in an outage
-        self.waiting: dict[int, Place[E, G]] = {}
-        self.stirred: dict[int, None] = {}  # destinations where something happened since they were looked at,
+        self.waiting: dict[int, DestinationState[E, G]] = {}
+        self.changed: dict[int, None] = {}  # destinations where something happened since they were looked at,
         self.unweighed: dict[int, None] = {}  # and since it was weighed what they could spare
-        self.ready: Ranking[int] = Ranking()  # destinations with a choice, the most urgent first
-        self.spare: Ranking[int] = Ranking()  # while the hold is nearly full: the least valuable first
-        self.opens: Agenda[int] = Agenda()  # when a destination without a choice may have one
-        self.ends: Agenda[int] = Agenda()  # when a message is out of time, or may not go again
-        self.silences: Agenda[E] = Agenda()
-        self.lapses: Agenda[Call[E]] = Agenda()  # when a call has been out for longer than the silence,
-        self.lapsed: dict[Call[E], None] = {}  # and those that have
-        self.rests: Agenda[str] = Agenda()  # when a key has rested
-        self.leaving: Agenda[E] = Agenda()  # when an unlisted endpoint may be forgotten
+        self.ready: PriorityQueue[int] = PriorityQueue()  # destinations with a choice, the most urgent first
+        self.spare: PriorityQueue[int] = (
+            PriorityQueue()
+        )  # while the hold is nearly full: the least valuable first
+        self.openings: DeadlineQueue[int] = (
+            DeadlineQueue()
+        )  # when a destination without a choice may have one
+        self.ends: DeadlineQueue[int] = DeadlineQueue()  # when a message is out of time, or may not go again
+        self.silences: DeadlineQueue[E] = DeadlineQueue()
+        self.overdue_at: DeadlineQueue[Call[E]] = (
+            DeadlineQueue()
+        )  # when a call has been out for longer than the silence,
+        self.overdue: dict[Call[E], None] = {}  # and those that have
+        self.key_rests: DeadlineQueue[str] = DeadlineQueue()  # when a key has rested
+        self.leaving: DeadlineQueue[E] = DeadlineQueue()  # when an unlisted endpoint may be forgotten
         self.unlisted: dict[str, E] = {}
         self.recovering: dict[E, None] = {}  # that are out or cold, or were
         self.recalled: dict[str, tuple[Outage, int]] = {}  # of those not listed now; until when believed
         self.moved: set[int] = set()  # destinations whose list has changed in this round
         self.answered: dict[E, None] = {}
-        self.zones: dict[str, Usual] = {}  # how long answers of each take, and
-        self.refusals: dict[str, Usual] = {}  # refusals
-        self.own = Meter(NEVER, MEMORY_S, GUESS)
-        self.trust = Trust(settings)
-        self.quota = {n: Bucket(r * QUOTA_BURST_S / settings.replicas) for n, r in settings.tenants.items()}
+        self.zones: dict[str, RunningMean] = {}  # how long answers of each take, and
+        self.refusals: dict[str, RunningMean] = {}  # refusals
+        self.own = RateEstimator(NEVER, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
+        self.connection_reuse = ConnectionReuse(settings)
+        self.quota = {
+            n: TokenBucket(r * QUOTA_BURST_S / settings.replicas) for n, r in settings.tenants.items()
+        }
         self.token, self.armed_for = 0, NEVER
-        self.asking, self.hearsay = Asking(settings), Hearsay(settings, Random(f"{seed} tells").random())
+        self.list_watch, self.gossip = ListWatch(settings), Gossip(settings, Random(f"{seed} tells").random())
 
-    def stir(self, number: int) -> None:
+    def mark_changed(self, number: int) -> None:
         """Something happened at a destination: what was picked or weighed there stands no more."""
         if (kept := self.destinations.get(number)) is not None:
-            self.hearsay.holds(number, len(kept.hold), kept.hold.since)
+            self.gossip.update_held(number, len(kept.held), kept.held.since)
         if number in self.waiting:
-            self.stirred[number] = None
+            self.changed[number] = None
             if self.spare or self.unweighed:
                 self.unweighed[number] = None
 
-    def line_up(self, key: str) -> None:
+    def refresh_key(self, key: str) -> None:
         """Something happened to a key: its first message may have come to its turn, or lost it."""
         if (line := self.keys.get(key)) is None:
             return
         if line.waiting:
             first = line.waiting[0]
-            if self.destinations[first.dest].hold.move(first, first.sort_of(line.in_turn(first, self.now))):
-                self.stir(first.dest)
-        if not line.waiting and not line.out and self.now >= line.rest_until:
+            if self.destinations[first.dest].held.move(first, first.group_for(line.in_turn(first, self.now))):
+                self.mark_changed(first.dest)
+        if not line.waiting and not line.attempts_out and self.now >= line.rest_until:
             del self.keys[key]
 
-    def usual_rate(self) -> float:
+    def initial_rate(self) -> float:
         """The first guess at own calls a second to a destination that is not known yet."""
-        slots_busy = self.settings.slots / min(c.aim_us for c in self.settings.classes.values()) * SECOND
+        slots_busy = self.settings.slots / min(c.aim_us for c in self.settings.classes.values()) * SECOND_US
         return self.own.rate(self.now, slots_busy) / max(1, len(self.destinations))
 
-    def tidy_destination(self, number: int) -> None:
+    def forget_empty_destination(self, number: int) -> None:
         """Forget a destination with no endpoint and nothing held."""
-        if (kept := self.destinations.get(number)) and not kept.endpoints and not kept.hold:
+        if (kept := self.destinations.get(number)) and not kept.endpoints and not kept.held:
             del self.destinations[number]
 
     def tenant_share(self, tenant: str | None) -> float:
@@ -147,16 +162,16 @@
         """Send nothing new there. It is forgotten later: listed again, it keeps its told wait."""
         if endpoint.listed:
             endpoint.listed = False
-            self.stir(endpoint.dest)
+            self.mark_changed(endpoint.dest)
             self.moved.add(endpoint.dest)
             self.unlisted[endpoint.target] = endpoint
-            endpoint.gate.routes -= 1
+            endpoint.shared_limit.routes -= 1
             self.leaving.set(endpoint, self.now)
 
     def forget(self) -> None:
         """Drop what is unlisted with nothing out or to remember, and destinations that stand empty."""
         for endpoint in self.leaving.due(self.now):
-            kept_until = max(endpoint.gate.opens_at, endpoint.failed_at + self.settings.ramp_us)
+            kept_until = max(endpoint.shared_limit.opens_at, endpoint.failed_at + self.settings.ramp_us)
             if endpoint.listed or endpoint.calls or self.unlisted.get(endpoint.target) is not endpoint:
                 continue  # listed again, or its last call's end looks here again
             if self.now >= kept_until:
@@ -175,17 +190,17 @@
     def drop(self, endpoint: E) -> None:
         """Forget an endpoint that was unlisted."""
         del self.endpoints[endpoint.target], self.unlisted[endpoint.target]
-        self.digests.pop(digest(endpoint.target), None)
+        self.digests.pop(endpoint_digest(endpoint.target), None)
         self.leaving.drop(endpoint)
         del self.destinations[endpoint.dest].endpoints[endpoint.target]
-        self.tidy_destination(endpoint.dest)
+        self.forget_empty_destination(endpoint.dest)
 
     def release(self, message: Message) -> None:
         """Hold a message no longer."""
         destination = self.waiting[message.dest]
-        destination.hold.remove(message)
-        self.stir(message.dest)
-        if not destination.hold:
+        destination.held.remove(message)
+        self.mark_changed(message.dest)
+        if not destination.held:
             del self.waiting[message.dest]
 
     def end(self, message: Message) -> None:
@@ -193,9 +208,9 @@
         if self.messages.pop(message.ref, None) is None:
             return
         self.ends.drop(message.ref)
-        if message.sort is not None:
+        if message.group is not None:
             self.release(message)
-        self.tidy_destination(message.dest)
+        self.forget_empty_destination(message.dest)
         if message.key is not None:
             self.keys[message.key].waiting.remove(message)
-            self.line_up(message.key)
+            self.refresh_key(message.key)
--- a/rowanspindle/wire.py
+++ b/rowanspindle/wire.py
@@ -12,28 +12,28 @@
 from rowanspindle.api import (
     Accept,
     Action,
-    Arm,
+    ArmTimer,
+    BroadcastNote,
     Cancel,
+    DestinationKind,
     Disconnect,
     Effect,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
     Event,
     Fail,
-    Heard,
-    Kind,
-    Log,
-    Member,
-    Members,
+    LogLine,
     MessageClass,
+    NoteReceived,
     Outcome,
     Refuse,
     Result,
-    Scope,
     Send,
     Settings,
-    Status,
-    Tell,
-    Timer,
-    Watch,
+    TimerFired,
+    UpdateScope,
+    WatchEndpointList,
     Withdrawn,
 )
 
@@ -48,8 +48,13 @@
     "withdrawn": Result.CANCELLED,
     "void": Result.MOOT,
 }
-SCOPES = {"delta": Scope.DELTA, "full": Scope.FULL, "cached": Scope.FULL, "failed": Scope.FAILED}
-STATUSES = {"U": Status.LISTED, "L": Status.DRAINING, "D": Status.REMOVED}
+SCOPES = {
+    "delta": UpdateScope.DELTA,
+    "full": UpdateScope.FULL,
+    "cached": UpdateScope.FULL,
+    "failed": UpdateScope.FAILED,
+}
+STATUSES = {"U": EndpointStatus.LISTED, "L": EndpointStatus.DRAINING, "D": EndpointStatus.REMOVED}
 
 
 class WireError(ValueError):
@@ -173,17 +178,17 @@
     )
 
 
-def _kinds(names: list[str], extra: dict[str, Any]) -> dict[str, Kind]:
+def _kinds(names: list[str], extra: dict[str, Any]) -> dict[str, DestinationKind]:
     """What is told of each kind; a list that ends early says nothing of those behind."""
     batches, aparts = extra.get("batch_by_kind") or [], extra.get("kind_apart") or []
     told = zip_longest(names, batches[: len(names)], aparts[: len(names)])
-    return {name: Kind(int(batch or 1), bool(apart)) for name, batch, apart in told}
+    return {name: DestinationKind(int(batch or 1), bool(apart)) for name, batch, apart in told}
 
 
-def parse_entry(line: str) -> Member:
+def parse_entry(line: str) -> EndpointEntry:
     """One entry of a numbered list."""
     target, zone, kind, dest, status, units, _ready = fields(line, 7)
-    return Member(target, zone, kind, whole(dest), pick(STATUSES, status, "status"), number(units))
+    return EndpointEntry(target, zone, kind, whole(dest), pick(STATUSES, status, "status"), number(units))
 
 
 def parse_accept(line: str) -> Event:
@@ -223,14 +228,14 @@
 
 def parse_timer(line: str) -> Event:
     """A timer that is due."""
-    return Timer(whole(fields(line, 1)[0]))
+    return TimerFired(whole(fields(line, 1)[0]))
 
 
 def parse_heard(line: str) -> Event | None:
     """A note from another instance; None if its bytes are none."""
     peer, raw = fields(line, 2)
     try:
-        return Heard(whole(peer), notes.read(bytes.fromhex("" if raw == "-" else raw)))
+        return NoteReceived(whole(peer), notes.decode_note(bytes.fromhex("" if raw == "-" else raw)))
     except notes.NoteError:
         return None
     except ValueError:
@@ -257,24 +262,24 @@
         case Fail():
             return f"ABORT {action.ref}"
         case Cancel():
-            return f"CALL_OFF {action.ref} {action.leg}"
+            return f"CALL_OFF {action.ref} {action.attempt_number}"
         case Disconnect():
             return f"DISCONNECT {action.target}"
-        case Arm():
+        case ArmTimer():
             return f"ARM {action.after_us} {action.token}"
-        case Watch():
+        case WatchEndpointList():
             return "FOLLOW 1"
-        case Log():
+        case LogLine():
             return f"WRITE_LOG {action.text}"
-        case Tell():
-            return f"BROADCAST_TO -1 {notes.write(action.note).hex()}"
+        case BroadcastNote():
+            return f"BROADCAST_TO -1 {notes.encode_note(action.note).hex()}"
 
 
 __all__ = [
     "EVENTS",
     "IGNORED",
     "SCOPES",
-    "Members",
+    "EndpointListUpdate",
     "WireError",
     "fields",
     "format_action",
--- a/rowanspindle/zones.py
+++ b/rowanspindle/zones.py
@@ -24,7 +24,7 @@
         """How far apart its turns lie."""
 
 
-def parts(zones: Iterable[str], own: str, count: int) -> dict[str, float]:
+def call_shares(zones: Iterable[str], own: str, count: int) -> dict[str, float]:
     """For an endpoint of each zone: the calls that a sender in `own` makes there, over an even part.
 
     `zones` has the zone of each endpoint, `count` says in how many senders stand.
@@ -38,11 +38,11 @@
     return {zone: calls[zone] * total / n for zone, n in here.items()}
 
 
-def share_out(routes: Sequence[Route], own: str, count: int, turn: float) -> None:
+def assign_shares(routes: Sequence[Route], own: str, count: int, turn: float) -> None:
     """Set the shares of all endpoints of a destination; those that are next, `turn` being passed, stay so."""
     if not routes:
         return
-    known = parts((route.zone for route in routes), own, count)
+    known = call_shares((route.zone for route in routes), own, count)
     for route in routes:
         was, route.share = route.stride, known[route.zone]
         route.turn = turn + (route.turn - turn) * route.stride / was
--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -220,19 +220,19 @@
             self.ends.pop(name, None)
             self.untold.discard(name)
 
-    def begin(self, name: str, leg: int | None = None) -> None:
+    def begin(self, name: str, attempt_number: int | None = None) -> None:
         if (message := self.messages.get(name)) is None:
             return
-        leg, message.legs = message.legs, message.legs + 1
-        if self.store.begin(message, leg):
+        attempt_number, message.attempts_made = message.attempts_made, message.attempts_made + 1
+        if self.store.begin(message, attempt_number):
             assert not self.store.behind(), "begun before what had happened"
-            message.unsettled[leg] = NOW if message.key else 0
-            self.begun[name] = leg + 1
+            message.unsettled[attempt_number] = NOW if message.key else 0
+            self.begun[name] = attempt_number + 1
 
-    def never_ran(self, name: str, leg: int | None = None) -> None:
+    def never_ran(self, name: str, attempt_number: int | None = None) -> None:
         if (message := self.messages.get(name)) is not None and message.unsettled:
-            leg, _ = message.unsettled.popitem()
-            self.store.never_ran(message, leg)
+            attempt_number, _ = message.unsettled.popitem()
+            self.store.never_ran(message, attempt_number)
 
     def end(self, name: str, end: End) -> None:
         if (message := self.messages.pop(name, None)) is not None:
@@ -267,7 +267,7 @@
         """Nothing lost, nothing owed again, and no attempt forgotten."""
         assert state(store) in self.sure
         for name, message in store.owed.items():
-            assert message.legs >= self.begun[name], "an attempt is forgotten"
+            assert message.attempts_made >= self.begun[name], "an attempt is forgotten"
 
 
 def check_full_from_and_to(bench: Callable[[], Bench]) -> None:
--- a/tests/contracts/test_notes_transports.py
+++ b/tests/contracts/test_notes_transports.py
@@ -15,16 +15,16 @@
 from rowanrack.model.engine import Engine
 from rowanrack.net.memory_peers import Hub, Weather
 from rowanrack.net.peers import EACH_MOST, PeerPort
-from rowanspindle.hearsay import LIVE_US, WORK, Hearsay
-from rowanspindle.notes import MOST_BYTES, NUMBERS, Fact, Note, What, write
+from rowanspindle.gossip import LIVE_US, WORK, Gossip
+from rowanspindle.notes import MAX_NOTE_BYTES, SEQUENCE_NUMBERS, Fact, FactKind, Note, encode_note
 from tests.test_notes import FLEET, free_port
 
-BAD = [b"", b"\xa1", b"noise", b"\xa2\x01\x01\x01\x01", b"\xa1\x01\x09\x01\x01", b"x" * (MOST_BYTES + 1),
-       b"y" * 9000, write(Note(1, (Fact(What.WORK, 7, 2),)))[:-1]]  # fmt: skip
+BAD = [b"", b"\xa1", b"noise", b"\xa2\x01\x01\x01\x01", b"\xa1\x01\x09\x01\x01", b"x" * (MAX_NOTE_BYTES + 1),
+       b"y" * 9000, encode_note(Note(1, (Fact(FactKind.WORK, 7, 2),)))[:-1]]  # fmt: skip
 
 
 def note(number: int, value: int = 2) -> Note:
-    return Note(number % NUMBERS, (Fact(What.WORK, 7, value),))
+    return Note(number % SEQUENCE_NUMBERS, (Fact(FactKind.WORK, 7, value),))
 
 
 class Udp:
@@ -63,29 +63,29 @@
         try:
             for data in BAD:
                 udp.peer.sendto(data, udp.own)
-            for data in (write(note(1)), *BAD[:3]):
+            for data in (encode_note(note(1)), *BAD[:3]):
                 udp.stranger.sendto(data, udp.own)
-            udp.peer.sendto(write(note(9)), udp.own)
+            udp.peer.sendto(encode_note(note(9)), udp.own)
             await udp.until(lambda: bool(udp.got))
             assert udp.got == [(1, note(9))] and one.dropped == len(BAD) + 4
             udp.now += 10_000_000
             for n in range(100):  # a flood, of which a second's worth is taken
-                udp.peer.sendto(write(note(n)), udp.own)
+                udp.peer.sendto(encode_note(note(n)), udp.own)
             udp.stranger.sendto(b"", udp.own)
             await udp.until(lambda: one.dropped + len(udp.got) >= len(BAD) + 4 + 1 + 100 + 1)
             assert len(udp.got) == 1 + EACH_MOST
             udp.now += 10_000_000
             two.open()  # at a hot restart: each datagram comes to one of the two
             before = len(udp.got)
-            udp.peer.sendto(write(note(11)), udp.own)
+            udp.peer.sendto(encode_note(note(11)), udp.own)
             await udp.until(lambda: len(udp.got) > before)
             assert udp.got[before:] == [(1, note(11))]
             one.close()
-            udp.peer.sendto(write(note(12)), udp.own)
+            udp.peer.sendto(encode_note(note(12)), udp.own)
             await udp.until(lambda: len(udp.got) > before + 1)
             one.tell(note(1))  # closed: it goes nowhere, and harms nobody
             two.tell(note(13))
-            assert (await asyncio.to_thread(udp.peer.recv, 999)) == write(note(13))
+            assert (await asyncio.to_thread(udp.peer.recv, 999)) == encode_note(note(13))
         finally:
             udp.close()
 
@@ -135,7 +135,7 @@
     def begin(self, seed: int, lost: float, late: int) -> None:
         self.engine, self.late = Engine(1_000_000), late
         self.hub = self.hub_type(self.engine.after, Random(seed), Weather(lost, 0.3, 100, late))
-        self.beliefs = [Hearsay(FLEET) for _ in range(3)]
+        self.beliefs = [Gossip(FLEET) for _ in range(3)]
         self.told: list[list[tuple[int, int]]] = [[] for _ in range(3)]  # values, and when they were told
         self.numbers = [0] * 3
         for n in range(3):
@@ -143,18 +143,18 @@
 
     def hear(self, n: int, peer: int, heard: Note) -> None:
         assert peer != n
-        self.beliefs[n].heard(peer, heard, self.engine.now)
+        self.beliefs[n].receive(peer, heard, self.engine.now)
 
     @rule(n=st.integers(0, 2), value=st.integers(0, 9))
     def tells(self, n: int, value: int) -> None:
-        self.numbers[n] = (self.numbers[n] + 1) % NUMBERS
+        self.numbers[n] = (self.numbers[n] + 1) % SEQUENCE_NUMBERS
         self.told[n].append((value, self.engine.now))
         self.hub.tell(n, note(self.numbers[n], value))
 
     @rule(n=st.integers(0, 2), number=st.integers(0, 255))
     def begins_again(self, n: int, number: int) -> None:
         """A restart: nothing is believed, and numbers begin anywhere."""
-        self.beliefs[n], self.numbers[n] = Hearsay(FLEET), number
+        self.beliefs[n], self.numbers[n] = Gossip(FLEET), number
 
     @rule(us=st.sampled_from([1_000, 400_000, LIVE_US]))
     def passes(self, us: int) -> None:
@@ -164,17 +164,17 @@
     def falls_silent(self) -> None:
         """What was told ages out, and whoever tells something then is heard, whatever its number."""
         self.engine.run(self.engine.now + LIVE_US + WORK * self.beliefs[0].beat_us + self.late)
-        assert all(b.crowd(7, 1, self.engine.now) is None for b in self.beliefs)
+        assert all(b.active_senders(7, 1, self.engine.now) is None for b in self.beliefs)
         self.hub.weather = Weather()
         for n in range(3):
             self.tells(n, n + 1)
         self.engine.run(self.engine.now + 1_000)
-        assert [b.crowd(7, 1, self.engine.now) for b in self.beliefs] == [6, 5, 4]
+        assert [b.active_senders(7, 1, self.engine.now) for b in self.beliefs] == [6, 5, 4]
 
     @invariant()
     def nothing_is_believed_that_nobody_told(self) -> None:
         for n, beliefs in enumerate(self.beliefs if hasattr(self, "beliefs") else []):
-            crowd = beliefs.crowd(7, 1, self.engine.now)
+            crowd = beliefs.active_senders(7, 1, self.engine.now)
             since = self.engine.now - WORK * beliefs.beat_us - self.late
             sums = {0}
             for peer in {0, 1, 2} - {n}:
@@ -200,8 +200,8 @@
 
 @pytest.mark.parametrize("last", [0, 1, 90, 127, 128, 200, 255])
 def test_a_peer_that_begins_again_is_deaf_to_nobody_for_longer_than_live(last: int) -> None:
-    beliefs = Hearsay(FLEET)
-    beliefs.heard(3, note(last), 0)
+    beliefs = Gossip(FLEET)
+    beliefs.receive(3, note(last), 0)
     for n in range(1, 12):  # from 1 again, twice a second
-        beliefs.heard(3, note(n, 5), n * 500_000)
-    assert beliefs.crowd(7, 1, 5_500_000) == 6
+        beliefs.receive(3, note(n, 5), n * 500_000)
+    assert beliefs.active_senders(7, 1, 5_500_000) == 6
--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -21,9 +21,9 @@
 from rowanrack.consul import ConsulSource
 from rowanrack.fronts.platform.discovery import LIST_LIMIT, DiscoveryWatch
 from rowanrack.net.stream import Stream
-from rowanspindle import Scope, Status
+from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import instance
-from tests.test_core import SECOND, Desk
+from tests.test_core import SECOND_US, Desk
 from tests.test_list_clock import Wire, framed, pass_time
 
 
@@ -43,7 +43,7 @@
     def __init__(self, folder: Path) -> None:
         self.closed: list[str] = []
         super().__init__(folder)
-        self.exchange.list_instances(Scope.FULL, ())
+        self.exchange.list_instances(UpdateScope.FULL, ())
 
     def close_idle(self, name: str) -> None:
         self.closed.append(name)
@@ -76,7 +76,7 @@
         raise NotImplementedError
 
     async def passes(self, seconds: float) -> None:
-        await pass_time(self.desk, self.desk.now + round(seconds * SECOND))
+        await pass_time(self.desk, self.desk.now + round(seconds * SECOND_US))
 
     def listed(self) -> set[str]:
         table = self.desk.exchange.table
@@ -326,12 +326,12 @@
 
 
 async def a_whole_list_replaces_its_own_entries_only(source: Source) -> None:
-    source.desk.exchange.list_instances(Scope.FULL, [instance("other", 9)], "other")
+    source.desk.exchange.list_instances(UpdateScope.FULL, [instance("other", 9)], "other")
     await source.says(Entry("a"), Entry("b", 2))
     assert source.listed() == source.names("ab") | {"other"}
     await source.says(Entry("b", 2))
     assert source.listed() == source.names("b") | {"other"}
-    source.desk.exchange.list_instances(Scope.FULL, (), "other")
+    source.desk.exchange.list_instances(UpdateScope.FULL, (), "other")
     assert source.listed() == source.names("b")
 
 
@@ -352,7 +352,7 @@
     attempt = source.desk.submit("m1", "album-update")
     await source.says(Entry("a", drains=True))
     found = source.desk.exchange.table.get(source.name("a"))
-    assert found is not None and found.status is Status.DRAINING
+    assert found is not None and found.status is EndpointStatus.DRAINING
     assert not source.desk.exchange.begin(attempt)
     await source.says(Entry("a"))
     assert source.listed() == source.names("a")
@@ -363,7 +363,7 @@
     for n, moved in enumerate((Entry("a", dest=8), Entry("a", port=2))):
         await source.says(Entry("a"))
         attempt = source.desk.submit(f"m{n}", "album-update")
-        assert attempt.instance.name == source.name("a")
+        assert attempt.endpoint.name == source.name("a")
         source.desk.closed.clear()
         await source.says(moved)
         assert not source.desk.exchange.begin(attempt) and source.desk.closed == [source.name("a")]
@@ -403,7 +403,7 @@
         back = source.desk.now
         await source.call()
         await source.says(Entry(how))
-        assert source.listed() == source.names([how]) and source.desk.now - back <= 6 * SECOND, how
+        assert source.listed() == source.names([how]) and source.desk.now - back <= 6 * SECOND_US, how
 
 
 async def a_call_that_falls_silent_is_given_up_soon_behind_its_wait(source: Source) -> None:
@@ -439,17 +439,19 @@
 async def of_two_that_name_one_each_may_leave_it_out(source: Source) -> None:
     own, exchange = source.name("a"), source.desk.exchange
     await source.says(Entry("a"))
-    exchange.list_instances(Scope.FULL, [instance(own, 9)], "other")
+    exchange.list_instances(UpdateScope.FULL, [instance(own, 9)], "other")
     assert exchange.table.get(own).port == 9  # type: ignore[union-attr]
-    exchange.list_instances(Scope.FULL, (), "other")
+    exchange.list_instances(UpdateScope.FULL, (), "other")
     assert exchange.table.get(own).port == 1  # type: ignore[union-attr]
-    exchange.list_instances(Scope.FULL, [instance(own, 9)], "other")
+    exchange.list_instances(UpdateScope.FULL, [instance(own, 9)], "other")
     await source.says()
     assert exchange.table.get(own).port == 9  # type: ignore[union-attr]
     exchange.ban(own)
     assert exchange.table.names() == {own} and not source.listed()
     exchange.attach(own)
-    exchange.list_instances(Scope.DELTA, [replace(instance(own, 9), status=Status.REMOVED)], "other")
+    exchange.list_instances(
+        UpdateScope.DELTA, [replace(instance(own, 9), status=EndpointStatus.REMOVED)], "other"
+    )
     assert not exchange.table.names()
 
 
@@ -507,8 +509,8 @@
         super().start()
         told = self.desk.exchange.list_instances
 
-        def forgets(scope: Scope, entries: Any, source: str = "") -> None:
-            told(Scope.FULL if scope is Scope.FAILED else scope, entries, source)
+        def forgets(scope: UpdateScope, entries: Any, source: str = "") -> None:
+            told(UpdateScope.FULL if scope is UpdateScope.FAILED else scope, entries, source)
 
         self.desk.exchange.list_instances = forgets  # type: ignore[method-assign,assignment]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,36 +8,36 @@
 from rowanspindle import (
     Accept,
     Action,
-    Arm,
+    ArmTimer,
+    DestinationKind,
     Effect,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
     Event,
     Fail,
     Forwarder,
-    Kind,
-    Log,
-    Member,
-    Members,
+    LogLine,
     MessageClass,
     Outcome,
     Refuse,
     Result,
-    Scope,
     Send,
     Settings,
-    Status,
-    Timer,
+    TimerFired,
+    UpdateScope,
 )
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
-SAFE = MessageClass("safe", 2 * SECOND, 20 * SECOND, 1.0, 0.3, Effect.SAFE)
-KEYED = MessageClass("keyed", 2 * SECOND, 20 * SECOND, 2.0, 0.4, Effect.KEYED, key_ttl_us=5 * SECOND)
-UNSAFE = MessageClass("unsafe", 2 * SECOND, 20 * SECOND, 4.0, 0.5, Effect.UNSAFE)
+SAFE = MessageClass("safe", 2 * SECOND_US, 20 * SECOND_US, 1.0, 0.3, Effect.SAFE)
+KEYED = MessageClass("keyed", 2 * SECOND_US, 20 * SECOND_US, 2.0, 0.4, Effect.KEYED, key_ttl_us=5 * SECOND_US)
+UNSAFE = MessageClass("unsafe", 2 * SECOND_US, 20 * SECOND_US, 4.0, 0.5, Effect.UNSAFE)
 ORDERED = MessageClass(
-    "ordered", 2 * SECOND, 20 * SECOND, 2.0, 0.5, Effect.KEYED, key_ttl_us=30 * SECOND, ordered=True
+    "ordered", 2 * SECOND_US, 20 * SECOND_US, 2.0, 0.5, Effect.KEYED, key_ttl_us=30 * SECOND_US, ordered=True
 )
 ZONED = MessageClass(
-    "zoned", 2 * SECOND, 20 * SECOND, 2.0, 0.5, Effect.KEYED, same_zone=True, key_ttl_us=5 * SECOND
+    "zoned", 2 * SECOND_US, 20 * SECOND_US, 2.0, 0.5, Effect.KEYED, same_zone=True, key_ttl_us=5 * SECOND_US
 )
 
 BASE = Settings(
@@ -45,7 +45,11 @@
     slots=12,
     most_held=200,
     tenants={"a": 100.0, "b": 10.0},
-    kinds={"plain": Kind(), "batch": Kind(batch=5), "apart": Kind(apart=True)},
+    kinds={
+        "plain": DestinationKind(),
+        "batch": DestinationKind(batch=5),
+        "apart": DestinationKind(apart=True),
+    },
 )
 
 
@@ -54,18 +58,18 @@
     dest: int = 1,
     kind: str = "plain",
     zone: str = "z",
-    status: Status = Status.LISTED,
+    status: EndpointStatus = EndpointStatus.LISTED,
     weight: float = 10.0,
-) -> Member:
-    return Member(target, zone, kind, dest, status, weight)
+) -> EndpointEntry:
+    return EndpointEntry(target, zone, kind, dest, status, weight)
 
 
 class Caller:
     """Drives one forwarder: numbers attempts, keeps its timers and remembers what it did."""
 
-    def __init__(self, *members: Member, **changes: object) -> None:
+    def __init__(self, *members: EndpointEntry, **changes: object) -> None:
         self.forwarder = Forwarder(replace(BASE, **changes), 7)  # type: ignore[arg-type]
-        self.now = 1000 * SECOND
+        self.now = 1000 * SECOND_US
         self.timers: dict[int, int] = {}
         self.legs: dict[int, int] = {}
         self.out: dict[tuple[int, int], str] = {}
@@ -73,7 +77,7 @@
         self.log: list[tuple[int, Action]] = []
         self.next_ref = 0
         self.watch: Callable[[int, Action], None] = lambda now, action: None
-        self.step(Members(Scope.FULL, members or (member("t1"),)))
+        self.step(EndpointListUpdate(UpdateScope.FULL, members or (member("t1"),)))
 
     def step(self, *events: Event) -> list[Action]:
         """One batch at the present time."""
@@ -89,7 +93,7 @@
                 case Refuse() | Fail():
                     assert action.ref not in self.ended, "two final answers"
                     self.ended[action.ref] = type(action).__name__
-                case Arm():
+                case ArmTimer():
                     assert action.after_us > 0
                     self.timers[action.token] = self.now + action.after_us
         return actions
@@ -103,7 +107,7 @@
                 break
             self.now = max(self.now, due[0])
             del self.timers[due[1]]
-            actions += self.step(Timer(due[1]))
+            actions += self.step(TimerFired(due[1]))
         self.now = until
         return actions
 
@@ -111,7 +115,7 @@
         self,
         cls: str = "safe",
         dest: int = 1,
-        left_us: int = 20 * SECOND,
+        left_us: int = 20 * SECOND_US,
         tenant: str | None = "a",
         key: str | None = None,
     ) -> int:
@@ -143,4 +147,4 @@
         return [(t, a) for t, a in self.log if isinstance(a, Send) and t >= since]
 
     def logs(self) -> list[str]:
-        return [a.text for _, a in self.log if isinstance(a, Log)]
+        return [a.text for _, a in self.log if isinstance(a, LogLine)]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,15 +16,15 @@
 
 from rowanrack.app import Sender
 from rowanrack.config import Config, OtlpConfig, PlatformConfig
-from rowanrack.core.messages import Attempt, End, Instance, Message, Verdict
+from rowanrack.core.messages import Attempt, CallVerdict, End, Endpoint, Message
 from rowanrack.fronts.otlp.mapping import RequestMap, Source
 from rowanrack.lab.stand_in import Behaviour, Client, HttpServer
 from rowanrack.lab.stand_in import resp as resp
+from rowanrack.net.fair_scheduling import FairLoop
 from rowanrack.net.http import Call, HttpCaller, Reply, Request
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import after as after  # for the tests
-from rowanrack.net.turns import FairLoop
-from rowanspindle import Result, Scope, Settings, Status
+from rowanspindle import EndpointStatus, Result, Settings, UpdateScope
 from rowanspindle.wire import parse_settings
 
 SETTINGS: dict[str, Any] = {
@@ -177,9 +177,9 @@
     }
 
 
-def instance(name: str, port: int, dest: int = 7) -> Instance:
+def instance(name: str, port: int, dest: int = 7) -> Endpoint:
     """An instance as the core has it."""
-    return Instance(name, "127.0.0.1", port, "a", "print-lab", dest, Status.LISTED, 50.0)
+    return Endpoint(name, "127.0.0.1", port, "a", "print-lab", dest, EndpointStatus.LISTED, 50.0)
 
 
 MAPPING = RequestMap(
@@ -203,7 +203,7 @@
         doc = SETTINGS | (given or {}) | {"limits": SETTINGS["limits"] | limits}
         self.settings: Settings = parse_settings(json.dumps(doc))
         self.changes: dict[str, Any] = {}  # to the configuration, from the next start on
-        self.known: tuple[Instance, ...] = ()
+        self.known: tuple[Endpoint, ...] = ()
         self.results, self.ends = list[Result](), list[tuple[str, End]]()
         self._news = asyncio.Event()
 
@@ -239,7 +239,7 @@
     def _listen_in(self) -> None:
         exchange, settle = self.sender.exchange, self.sender.exchange.settle
 
-        def settle_and_tell(attempt: Attempt, verdict: Verdict | Result) -> None:
+        def settle_and_tell(attempt: Attempt, verdict: CallVerdict | Result) -> None:
             settle(attempt, verdict)
             self._tell(self.results, verdict if isinstance(verdict, Result) else verdict.result)
 
@@ -253,9 +253,9 @@
 
     def once_listed(self, *dests: int) -> None:
         """Destinations that are known, and whose instances have all gone."""
-        for status in (Status.LISTED, Status.REMOVED):
+        for status in (EndpointStatus.LISTED, EndpointStatus.REMOVED):
             news = [replace(instance(f"gone{dest}", 1, dest), status=status) for dest in dests]
-            self.sender.exchange.list_instances(Scope.DELTA, news)
+            self.sender.exchange.list_instances(UpdateScope.DELTA, news)
 
     def _tell(self, told: list[Any], news: Any) -> None:
         told.append(news)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -8,7 +8,19 @@
 
 import pytest
 
-from rowanspindle import Accept, Arm, Cancel, Fail, Log, Outcome, Refuse, Result, Send, Watch, wire
+from rowanspindle import (
+    Accept,
+    ArmTimer,
+    Cancel,
+    Fail,
+    LogLine,
+    Outcome,
+    Refuse,
+    Result,
+    Send,
+    WatchEndpointList,
+    wire,
+)
 
 PARAMS = json.dumps(
     {
@@ -39,7 +51,7 @@
 
 def drill(text: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "rowanspindle.drill"],
+        [sys.executable, "-m", "rowanspindle.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -68,7 +80,15 @@
 def test_actions_are_written() -> None:
     written = [
         wire.format_action(a)
-        for a in (Send(1, "t", 5), Refuse(1, 7), Fail(2), Cancel(1, 0), Arm(9, 3), Watch(), Log("a b"))
+        for a in (
+            Send(1, "t", 5),
+            Refuse(1, 7),
+            Fail(2),
+            Cancel(1, 0),
+            ArmTimer(9, 3),
+            WatchEndpointList(),
+            LogLine("a b"),
+        )
     ]
     assert written == [
         "ASSIGN 1 t 5",
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -14,7 +14,7 @@
 from rowanrack.net.http import Reply
 from rowanrack.net.pool import REST_US
 from rowanrack.net.stream import CountingReader, Stream
-from rowanspindle import Result, Scope
+from rowanspindle import Result, UpdateScope
 from tests.rig import Rig, answers, instance, on_loop
 from tests.test_otlp import logs
 
@@ -55,7 +55,7 @@
     server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
     async with server:
         endpoint.port = server.sockets[0].getsockname()[1]
-        rig.sender.exchange.list_instances(Scope.FULL, [instance("raw", endpoint.port)])
+        rig.sender.exchange.list_instances(UpdateScope.FULL, [instance("raw", endpoint.port)])
         yield endpoint
 
 
@@ -225,7 +225,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        rig.sender.exchange.list_instances(Scope.FULL, [instance("raw", listener.getsockname()[1])])
+        rig.sender.exchange.list_instances(UpdateScope.FULL, [instance("raw", listener.getsockname()[1])])
         client = await rig.client()
         monkeypatch.setattr(Stream, "connect", connect_small)
         begun = asyncio.Event()
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -11,13 +11,13 @@
 import pytest
 
 from rowanrack.core.messages import Ending
-from rowanrack.load import governor
+from rowanrack.load import load_shedder
 from rowanrack.net import listener as net_listener
 from rowanrack.net.http import Reply
 from rowanrack.net.listener import State
 from rowanrack.net.rare_log import EVERY_S, RareLog
 from rowanrack.net.stream import Stream
-from rowanspindle import Scope
+from rowanspindle import UpdateScope
 from tests.rig import Rig, answers, instance, on_loop, resp, silent
 from tests.test_otlp import logs
 
@@ -50,7 +50,7 @@
     server = await asyncio.start_server(raw.serve, "127.0.0.1", 0)
     async with server:
         port = server.sockets[0].getsockname()[1]
-        rig.sender.exchange.list_instances(Scope.FULL, [instance("raw", port)])
+        rig.sender.exchange.list_instances(UpdateScope.FULL, [instance("raw", port)])
         yield raw
 
 
@@ -271,12 +271,12 @@
 @on_loop
 async def test_bad_input_is_answered_late_but_only_so_often(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
-        rig.sender.fronts[0][0]._penalties = governor.PENALTIES
+        rig.sender.fronts[0][0]._penalties = load_shedder.PENALTIES
         loop = asyncio.get_running_loop()
         for held_up in (False, True):
             began = loop.time()
             assert (await (await rig.client()).command("NO")).startswith(b"-ERR unknown command")
-            assert (loop.time() - began >= governor.PENALTY_US / 1e6) is held_up
+            assert (loop.time() - began >= load_shedder.PENALTY_US / 1e6) is held_up
             rig.sender.fronts[0][0]._penalties = 0
 
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -12,13 +12,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rowanrack.core.messages import Attempt, Batch, End, Ending, Message, Verdict
+from rowanrack.core.messages import Attempt, Batch, CallVerdict, End, Ending, Message
 from rowanrack.fronts.platform import bulk
 from rowanrack.fronts.platform.inbox import InboxForm, report
 from rowanrack.net.http import Reply, Request
-from rowanspindle import Result, Scope
+from rowanspindle import Result, UpdateScope
 from tests.rig import Rig, answers, instance, on_loop
-from tests.test_core import SECOND, Desk
+from tests.test_core import SECOND_US, Desk
 
 PLACE = instance("i0", 1)
 
@@ -29,7 +29,7 @@
 
 def attempts(*names: str) -> list[Attempt]:
     batch = Batch(PLACE)
-    batch.attempts = [Attempt(message(n), 0, PLACE, 0, SECOND, batch) for n in names]
+    batch.attempts = [Attempt(message(n), 0, PLACE, 0, SECOND_US, batch) for n in names]
     return batch.attempts
 
 
@@ -124,7 +124,7 @@
 )
 def test_what_holds_for_all(status: int, headers: dict[str, str], result: Result, wait_us: int) -> None:
     found = InboxForm().verdicts(attempts("a", "b"), Reply(status, headers, b'[{"id":"a","state":"ok"}]'))
-    assert found == [Verdict(result, wait_us)] * 2
+    assert found == [CallVerdict(result, wait_us)] * 2
 
 
 def test_each_state_has_its_meaning_and_a_wait_holds_for_all() -> None:
@@ -139,8 +139,8 @@
 def test_one_that_is_cut_behind_its_first_line_is_no_delivery() -> None:
     body = b'[{"id":"a","state":"ok"},{"id":"b","state":"ok"}]'
     found = InboxForm().verdicts(attempts("a", "b"), Reply(200, {}, body, whole=False))
-    assert found == [Verdict(RESET)] * 2
-    assert InboxForm().verdicts(attempts("a"), Reply(200, {}, b"", whole=False)) == [Verdict(Result.OK)]
+    assert found == [CallVerdict(RESET)] * 2
+    assert InboxForm().verdicts(attempts("a"), Reply(200, {}, b"", whole=False)) == [CallVerdict(Result.OK)]
 
 
 @pytest.mark.parametrize("status", [400, 413])
@@ -172,8 +172,8 @@
 
 def test_only_the_fields_that_the_settings_name_are_read() -> None:
     reply = Reply(200, {"x-pressure": "x0=0.4,x1=25"})
-    assert InboxForm(("x1",)).verdicts(attempts("a"), reply) == [Verdict(Result.OK, 0, None, None, 25.0)]
-    assert InboxForm().verdicts(attempts("a"), reply) == [Verdict(Result.OK)]
+    assert InboxForm(("x1",)).verdicts(attempts("a"), reply) == [CallVerdict(Result.OK, 0, None, None, 25.0)]
+    assert InboxForm().verdicts(attempts("a"), reply) == [CallVerdict(Result.OK)]
 
 
 # On sockets.
@@ -198,7 +198,7 @@
     """Hand messages in, all in one turn of the sender's loop."""
     exchange = rig.sender.exchange
     for name in names:
-        due = exchange.clock.unix_us() + 3 * SECOND
+        due = exchange.clock.unix_us() + 3 * SECOND_US
         exchange.submit(Message(name, cls, "a", 7, due, b"body", "platform", key=key and key + name))
     exchange.pump()
 
@@ -209,8 +209,8 @@
         told: list[tuple[float | None, float | None]] = []
         settle = rig.sender.exchange.settle
 
-        def see(attempt: Attempt, verdict: Verdict | Result) -> None:
-            assert isinstance(verdict, Verdict)
+        def see(attempt: Attempt, verdict: CallVerdict | Result) -> None:
+            assert isinstance(verdict, CallVerdict)
             told.append((verdict.left, verdict.limit))
             settle(attempt, verdict)
 
@@ -231,7 +231,7 @@
     async with Rig(tmp_path, all_ok, given=BULKY) as rig:
         exchange = rig.sender.exchange
         for name in "abc":
-            due = exchange.clock.unix_us() + 3 * SECOND
+            due = exchange.clock.unix_us() + 3 * SECOND_US
             exchange.submit(Message(name, "album-update", "a", 7, due, bytes(30_000), "platform"))
         exchange.pump()
         for name in "abc":
@@ -295,10 +295,10 @@
             server = await asyncio.start_server(accept, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             exchange, dest = rig.sender.exchange, 100 + cut
-            exchange.list_instances(Scope.DELTA, [instance(f"s{cut}", port, dest)])
+            exchange.list_instances(UpdateScope.DELTA, [instance(f"s{cut}", port, dest)])
             names = [f"a{cut:03d}", f"b{cut:03d}"]
             for name in names:
-                due = exchange.clock.unix_us() + 3 * SECOND
+                due = exchange.clock.unix_us() + 3 * SECOND_US
                 exchange.submit(Message(name, "print-order", "a", dest, due, b"x", "platform"))
             exchange.pump()
             ends = [(await rig.ended(name)).ending for name in names]
@@ -317,24 +317,26 @@
 def test_giving_one_message_up_does_not_cut_the_others_off(tmp_path: Path) -> None:
     """A time-out closed the connection, and what else was on it may have run for nothing."""
     desk = bulk_desk(tmp_path)
-    for name, left in (("a", 3 * SECOND), ("b", SECOND)):
+    for name, left in (("a", 3 * SECOND_US), ("b", SECOND_US)):
         desk.exchange.submit(Message(name, "print-order", "a", 7, desk.now + left, b"x", "platform"))
     desk.run(10_000)
     first, second = desk.calls
     assert first.batch is second.batch and desk.exchange.begin(first) and desk.exchange.begin(second)
-    desk.run(SECOND + 100_000)
+    desk.run(SECOND_US + 100_000)
     assert desk.ends == {"b": End(Ending.FAILED)} and not desk.abandoned
     assert not second.settled and len(desk.calls) == 2  # it may still run: no other attempt is out
     desk.exchange.settle(first, Result.OK)
     desk.exchange.settle(second, Result.OK)
-    desk.run(SECOND)
+    desk.run(SECOND_US)
     assert desk.ends == {"a": End(Ending.DELIVERED), "b": End(Ending.FAILED)}
 
 
 def test_the_call_is_given_up_with_its_last_message(tmp_path: Path) -> None:
     desk = bulk_desk(tmp_path)
     for name in "ab":
-        desk.exchange.submit(Message(name, "album-update", "a", 7, desk.now + 20 * SECOND, b"x", "platform"))
+        desk.exchange.submit(
+            Message(name, "album-update", "a", 7, desk.now + 20 * SECOND_US, b"x", "platform")
+        )
     desk.run(10_000)
     pair = list(desk.calls)
     assert all(desk.exchange.begin(e) for e in pair)
@@ -347,7 +349,9 @@
 def test_one_that_waits_for_its_connection_leaves_its_batch_at_once(tmp_path: Path) -> None:
     desk = bulk_desk(tmp_path)
     for name in "ab":
-        desk.exchange.submit(Message(name, "album-update", "a", 7, desk.now + 20 * SECOND, b"x", "platform"))
+        desk.exchange.submit(
+            Message(name, "album-update", "a", 7, desk.now + 20 * SECOND_US, b"x", "platform")
+        )
     desk.run(10_000)
     first, second = desk.calls
     desk.exchange._drop(first, Result.TIMEOUT)
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -11,7 +11,7 @@
 
 from rowanrack.consul import ConsulError, ConsulSource, next_index, read_instances, status_of
 from rowanrack.net.http import Reply, Request
-from rowanspindle import Scope, Status
+from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import HttpStandIn, Rig, answers, on_loop
 
 OK = Reply(200, {})
@@ -62,14 +62,14 @@
 @pytest.mark.parametrize(
     ("checks", "status"),
     [
-        ([], Status.LISTED),
-        ([{"CheckID": "http", "Status": "passing"}], Status.LISTED),
-        ([{"CheckID": "http", "Status": "critical"}], Status.DRAINING),
-        ([{"CheckID": "_node_maintenance", "Status": "critical"}], Status.DRAINING),
-        ([{"CheckID": "_service_maintenance:i0", "Status": "critical"}], Status.DRAINING),
+        ([], EndpointStatus.LISTED),
+        ([{"CheckID": "http", "Status": "passing"}], EndpointStatus.LISTED),
+        ([{"CheckID": "http", "Status": "critical"}], EndpointStatus.DRAINING),
+        ([{"CheckID": "_node_maintenance", "Status": "critical"}], EndpointStatus.DRAINING),
+        ([{"CheckID": "_service_maintenance:i0", "Status": "critical"}], EndpointStatus.DRAINING),
     ],
 )
-def test_maintenance_means_draining(checks: list[dict[str, str]], status: Status) -> None:
+def test_maintenance_means_draining(checks: list[dict[str, str]], status: EndpointStatus) -> None:
     assert status_of(checks) is status
 
 
@@ -90,7 +90,7 @@
         ]
         agent = Agent(services=[(3, {"labs": ["sender"], "other": []})], labs=labs)
         async with agent:
-            rig.sender.exchange.list_instances(Scope.FULL, ())
+            rig.sender.exchange.list_instances(UpdateScope.FULL, ())
             source = ConsulSource(rig.sender.exchange, ("127.0.0.1", agent.port), (), "sender")
             rig.callback(source.close)
             source.start()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,21 +10,21 @@
 import pytest
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.core.messages import Attempt, Batch, End, Ending, Message, Progress, Verdict
+from rowanrack.core.messages import Attempt, Batch, CallVerdict, End, Ending, Message, Progress
 from rowanrack.core.wheel import TimerWheel
 from rowanrack.store.journal import Journal
-from rowanspindle import Fail, Result, Scope, Status
+from rowanspindle import EndpointStatus, Fail, Result, UpdateScope
 from rowanspindle.wire import parse_settings
 from tests.rig import SETTINGS, instance
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 class Desk:
     """An exchange with its ports in hand: the clock stands still, and calls are kept."""
 
     def __init__(self, folder: Path, given: dict[str, Any] | None = None) -> None:
-        self.now = 1000 * SECOND
+        self.now = 1000 * SECOND_US
         self.calls: list[Attempt] = []
         self.abandoned: list[Attempt] = []
         self.how_far = Progress.SENT
@@ -36,7 +36,7 @@
         )
         self.exchange.side = self
         self.exchange.listeners["platform"] = lambda m, end: self.ends.update({m.id: end})
-        self.exchange.list_instances(Scope.FULL, [instance("i0", 1)])
+        self.exchange.list_instances(UpdateScope.FULL, [instance("i0", 1)])
 
     def now_us(self) -> int:
         return self.now
@@ -67,16 +67,16 @@
 
     def submit(self, message_id: str, cls: str = "print-order") -> Attempt:
         """Hand a message in, and return its attempt."""
-        self.exchange.submit(Message(message_id, cls, "a", 7, self.now + 3 * SECOND, b"x", "platform"))
+        self.exchange.submit(Message(message_id, cls, "a", 7, self.now + 3 * SECOND_US, b"x", "platform"))
         self.run(10_000)
         return self.calls[-1]
 
 
-@pytest.mark.parametrize("status", [Status.DRAINING, Status.REMOVED])
-def test_a_call_that_waits_for_its_connection_heeds_a_drain(tmp_path: Path, status: Status) -> None:
+@pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+def test_a_call_that_waits_for_its_connection_heeds_a_drain(tmp_path: Path, status: EndpointStatus) -> None:
     desk = Desk(tmp_path)
     attempt = desk.submit("m1")
-    desk.exchange.list_instances(Scope.DELTA, [replace(instance("i0", 1), status=status)])
+    desk.exchange.list_instances(UpdateScope.DELTA, [replace(instance("i0", 1), status=status)])
     assert not desk.exchange.begin(attempt) and desk.abandoned == [attempt]
 
 
@@ -84,9 +84,9 @@
     desk = Desk(tmp_path)
     first, second = desk.submit("m1"), desk.submit("m2")
     assert first is not second and desk.exchange.begin(first)
-    desk.exchange.settle(first, Verdict(Result.FULL, SECOND))
+    desk.exchange.settle(first, CallVerdict(Result.FULL, SECOND_US))
     assert not desk.exchange.begin(second)
-    desk.run(SECOND + 600_000)
+    desk.run(SECOND_US + 600_000)
     assert desk.exchange.begin(desk.calls[2])
 
 
@@ -100,7 +100,7 @@
         raise ZeroDivisionError
 
     monkeypatch.setattr(desk.exchange.forwarder, "decide", broken)
-    desk.run(3 * SECOND + 250_000)
+    desk.run(3 * SECOND_US + 250_000)
     assert desk.ends == {"m1": End(Ending.FAILED)}
 
 
@@ -127,10 +127,10 @@
     desk = Desk(tmp_path)
     attempt = desk.submit("m1")
     assert desk.exchange.begin(attempt)
-    desk.exchange.submit(Message("m2", "print-order", "a", 7, desk.now + 3 * SECOND, b"x", "platform"))
+    desk.exchange.submit(Message("m2", "print-order", "a", 7, desk.now + 3 * SECOND_US, b"x", "platform"))
     desk.exchange.freeze()
     desk.exchange.settle(attempt, Result.OK)
-    desk.run(SECOND)
+    desk.run(SECOND_US)
     assert desk.ends == {"m1": End(Ending.DELIVERED)} and list(desk.journal.owed) == ["m2"]
     assert len(desk.calls) == 1
 
@@ -146,8 +146,8 @@
 
 def test_a_whole_list_replaces_only_its_source(tmp_path: Path) -> None:
     desk = Desk(tmp_path)
-    desk.exchange.list_instances(Scope.FULL, [instance("c0", 2), instance("c1", 3)], "consul")
-    desk.exchange.list_instances(Scope.FULL, [instance("c1", 3)], "consul")
+    desk.exchange.list_instances(UpdateScope.FULL, [instance("c0", 2), instance("c1", 3)], "consul")
+    desk.exchange.list_instances(UpdateScope.FULL, [instance("c1", 3)], "consul")
     assert desk.exchange.table.names() == {"i0", "c1"}
 
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from rowanrack.core.messages import End, Ending, Message, Verdict
+from rowanrack.core.messages import CallVerdict, End, Ending, Message
 from rowanrack.net.http import Reply
 from rowanrack.store.journal import Journal, JournalError
 from rowanspindle import Result
 from tests.contracts.stores import Disk
 from tests.rig import SETTINGS, Process, Rig, answers, on_loop
-from tests.test_core import SECOND, Desk
+from tests.test_core import SECOND_US, Desk
 from tests.test_parts import peek
 
 
@@ -91,7 +91,7 @@
 
 def test_a_sender_with_nothing_else_to_do_looks_whether_there_is_room(tmp_path: Path, disk: Disk) -> None:
     desk = Desk(tmp_path)
-    desk.run(SECOND)
+    desk.run(SECOND_US)
     disk.mode = "refuses"
     assert desk.exchange.submit(order(desk, "m1")) is not None
     looks_at = desk.exchange.wheel.next_at()
@@ -114,15 +114,15 @@
     tmp_path: Path, disk: Disk, short: bool
 ) -> None:
     disk.fails_at, disk.short = 1, short
-    journal = Journal(tmp_path, 3_000_000, lambda: SECOND)
+    journal = Journal(tmp_path, 3_000_000, lambda: SECOND_US)
     with pytest.raises(JournalError, match="only 10 of 20" if short else "No space left"):
         journal.open()
     journal.open()
-    assert journal.slot == "messages" and journal.take(Message("m", "c", "t", 3, SECOND, b"", "platform"))
+    assert journal.slot == "messages" and journal.take(Message("m", "c", "t", 3, SECOND_US, b"", "platform"))
 
 
 def order(desk: Desk, name: str) -> Message:
-    return Message(name, "print-order", "a", 7, desk.now + 3 * SECOND, b"x", "platform")
+    return Message(name, "print-order", "a", 7, desk.now + 3 * SECOND_US, b"x", "platform")
 
 
 def test_a_disk_that_refuses_uses_up_no_attempts_and_blames_nobody(tmp_path: Path, disk: Disk) -> None:
@@ -133,8 +133,8 @@
     disk.mode = "refuses"
     desk.exchange.settle(first, Result.OK)
     assert desk.ends == {"m1": End(Ending.DELIVERED)} and desk.exchange.known("m1") == desk.ends["m1"]
-    desk.run(2 * SECOND)
-    assert desk.calls == [first] and 2 <= desk.exchange.messages["m2"].legs <= 5
+    desk.run(2 * SECOND_US)
+    assert desk.calls == [first] and 2 <= desk.exchange.messages["m2"].attempts_made <= 5
     assert desk.exchange.forwarder.endpoints["i0"].out_since is None
     assert desk.exchange.submit(order(desk, "m3")) is not None
     disk.mode = "room"
@@ -148,8 +148,8 @@
     first = desk.submit("m1")
     assert desk.exchange.begin(first) and desk.exchange.submit(order(desk, "m2")) is None
     disk.mode = "refuses"
-    desk.exchange.settle(first, Verdict(Result.FULL, SECOND))
-    desk.run(4 * SECOND)
+    desk.exchange.settle(first, CallVerdict(Result.FULL, SECOND_US))
+    desk.run(4 * SECOND_US)
     assert {i: e.ending for i, e in desk.ends.items()} == dict.fromkeys(("m1", "m2"), Ending.REFUSED)
     assert not peek(tmp_path).ends
     disk.mode = "room"
@@ -177,7 +177,7 @@
     tmp_path: Path, disk: Disk, id_length: int, key: str
 ) -> None:
     """What was reckoned for attempts and ends was too little for ids longer than 19 bytes."""
-    most, now, budget = [0], [SECOND], 150_000
+    most, now, budget = [0], [SECOND_US], 150_000
     disk.before = lambda: most.append(sum(f.stat().st_size for f in tmp_path.iterdir()))
     journal = Journal(tmp_path, budget, lambda: now[0], attempts=3)
     journal.open()
@@ -191,13 +191,13 @@
         assert len(owed) > 10
         for leg in range(3):
             for message in owed:
-                message.legs = leg + 1
+                message.attempts_made = leg + 1
                 assert journal.begin(message, leg)
                 journal.never_ran(message, leg)
         for message in owed:
             journal.end(message, End(Ending.FAILED))
             journal.told(message.id)
         assert journal.file is not None and journal.file.size <= journal.file.room
-        now[0] += 100 * SECOND  # the ends are of no use any more
+        now[0] += 100 * SECOND_US  # the ends are of no use any more
     assert max(most) <= budget
     journal.close()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from rowanrack.model.engine import SECOND
+from rowanrack.model.engine import SECOND_US
 from rowanrack.model.scenario import parse
 from rowanrack.model.world import World
 from rowanspindle import Result
-from rowanspindle.trust import Trust
+from rowanspindle.connection_reuse import ConnectionReuse
 from tests.helpers import BASE, Caller, member
 
 FLEET = """
@@ -35,7 +35,9 @@
 
 def settled(world: World, since_s: float = 0) -> Counter[str]:
     """How calls ended, over the whole fleet."""
-    return Counter(e.note for e in world.history.entries if e.what == "settle" and e.at >= since_s * SECOND)
+    return Counter(
+        e.note for e in world.history.entries if e.what == "settle" and e.at >= since_s * SECOND_US
+    )
 
 
 def test_forty_senders_share_a_table_of_sixteen_connections() -> None:
@@ -47,7 +49,9 @@
     )
     counts = settled(world, since_s=3)
     assert counts["full"] < 0.25 * counts.total(), counts
-    late = [i for i in world.clients.items if i.delivered_us is None or i.delivered_us - i.at_us > 2 * SECOND]
+    late = [
+        i for i in world.clients.items if i.delivered_us is None or i.delivered_us - i.at_us > 2 * SECOND_US
+    ]
     assert len(late) < 0.25 * len(world.clients.items)
 
 
@@ -61,25 +65,25 @@
     ],
 )
 def test_short_connections_are_told_from_a_limit(new: list[bool], kept: list[bool], short: bool) -> None:
-    trust, found = Trust(replace(BASE, replicas=40)), False
+    trust, found = ConnectionReuse(replace(BASE, replicas=40)), False
     for fresh, calls in ((False, kept), (True, new)):
         for refused in calls:
             if refused:
-                found = trust.refused("plain", fresh, 0)
+                found = trust.record_refusal("plain", fresh, 0)
             else:
-                trust.answered("plain", fresh)
+                trust.record_answer("plain", fresh)
     assert found is short
 
 
 def test_where_refusals_are_paid_for_a_told_limit_paces_from_the_start_and_is_not_passed() -> None:
     """Each answer lifted the pace by the part of all forty, but a refusal cut only one's own: 37% refused."""
     caller = Caller(member("t1", weight=20.0), replicas=40, weights_exact=True, refused_price=0.1)
-    gate = caller.forwarder.endpoints["t1"].gate
+    gate = caller.forwarder.endpoints["t1"].shared_limit
     assert gate.pace == 20.0
-    caller.end(caller.accept(), Result.FULL, wait_us=SECOND // 2)
+    caller.end(caller.accept(), Result.FULL, wait_us=SECOND_US // 2)
     cut, paces = gate.pace, []
     for _ in range(30):
-        caller.wait(5 * SECOND)
+        caller.wait(5 * SECOND_US)
         for ref in {r for r, _ in caller.out} | ({caller.accept()} if not caller.out else set()):
             if caller.is_out(ref):
                 caller.end(ref)
@@ -90,4 +94,4 @@
 
 def test_free_refusals_are_tried() -> None:
     caller = Caller(member("t1", weight=20.0), replicas=40, weights_exact=True)
-    assert caller.forwarder.endpoints["t1"].gate.pace is None
+    assert caller.forwarder.endpoints["t1"].shared_limit.pace is None
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -11,15 +11,15 @@
 from rowanrack.core.messages import End, Ending, Message
 from rowanrack.net.http import Reply
 from rowanrack.store.journal import TIDY_EACH, Journal
-from rowanspindle import Scope, Status
+from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import Rig, answers, instance, on_loop
 
 OK = Reply(200, {})
 
 
-@pytest.mark.parametrize("status", [Status.DRAINING, Status.REMOVED])
+@pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
 @on_loop
-async def test_connections_end_with_their_instance(tmp_path: Path, status: Status) -> None:
+async def test_connections_end_with_their_instance(tmp_path: Path, status: EndpointStatus) -> None:
     """They stayed open for seconds, and counted against what the address's next instance takes."""
     async with Rig(tmp_path, answers(OK)) as rig:
         await (await rig.client()).submit("m1")
@@ -27,7 +27,7 @@
         pool, (stand_in,) = rig.sender.pool, rig.servers
         assert len(pool.idle["i0"]) == 1
         (serving,) = stand_in.tasks
-        rig.sender.exchange.list_instances(Scope.DELTA, [replace(rig.known[0], status=status)])
+        rig.sender.exchange.list_instances(UpdateScope.DELTA, [replace(rig.known[0], status=status)])
         await asyncio.wait({serving})  # it has seen the end of its connection
         assert not pool.idle and not pool._aged
 
@@ -44,7 +44,7 @@
         await (await rig.client()).submit("m1")
         await rig.servers[0].asked(1)
         (serving,) = rig.servers[0].tasks
-        rig.sender.exchange.list_instances(Scope.FULL, ())
+        rig.sender.exchange.list_instances(UpdateScope.FULL, ())
         answer.set()
         await rig.ended("m1")
         assert not rig.sender.pool.idle
@@ -57,11 +57,11 @@
     async with Rig(tmp_path, answers(OK)) as rig:
         client, exchange = await rig.client(), rig.sender.exchange
         for n in range(100):
-            exchange.list_instances(Scope.FULL, [instance(f"n{n}", rig.servers[0].port)])
+            exchange.list_instances(UpdateScope.FULL, [instance(f"n{n}", rig.servers[0].port)])
             exchange._waits.set(f"n{n}", 1 << 60)
             await client.submit(f"m{n}")
             await rig.ended(f"m{n}")
-        exchange.list_instances(Scope.FULL, ())
+        exchange.list_instances(UpdateScope.FULL, ())
         exchange.pump()
         assert not rig.sender.pool.idle and not rig.sender.pool._aged and not exchange._waits
         forwarder = exchange.forwarder
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -21,7 +21,7 @@
 from tests.rig import MAPPING, SETTINGS, Rig, answers, on_loop
 from tests.test_core import Desk
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 PARSED = parse_settings(json.dumps(SETTINGS))
 
 
@@ -84,30 +84,30 @@
 
 
 def keyed(name: str = "m1") -> Message:
-    return Message(name, "entry-fee", "a", 7, 2000 * SECOND, b"x", "platform", "f", "k1")
+    return Message(name, "entry-fee", "a", 7, 2000 * SECOND_US, b"x", "platform", "f", "k1")
 
 
 def test_the_journal_keeps_a_key_and_when_its_time_began(tmp_path: Path) -> None:
-    now = [1000 * SECOND]
+    now = [1000 * SECOND_US]
     journal = Journal(tmp_path, 3_000_000, lambda: now[0])
     journal.open()
     message = keyed()
     journal.take(message)
     journal.begin(message, 0)
-    message.legs, message.unsettled = 1, {0: now[0]}
-    now[0] += SECOND
+    message.attempts_made, message.unsettled = 1, {0: now[0]}
+    now[0] += SECOND_US
     assert journal._compact()
     journal.begin(message, 1)
     journal.close()
     again = Journal(tmp_path, 3_000_000, lambda: now[0])
     again.open()
     assert again.owed["m1"].key == "k1"
-    assert again.owed["m1"].unsettled == {0: 1000 * SECOND, 1: 1001 * SECOND}
+    assert again.owed["m1"].unsettled == {0: 1000 * SECOND_US, 1: 1001 * SECOND_US}
     other = Journal(tmp_path, 3_000_000, lambda: now[0])  # the second process of a hot restart
     other.open()
     again.close()
     (taken,) = other.absorb() or []
-    assert (taken.key, taken.unsettled) == ("k1", {0: 1000 * SECOND, 1: 1001 * SECOND})
+    assert (taken.key, taken.unsettled) == ("k1", {0: 1000 * SECOND_US, 1: 1001 * SECOND_US})
     other.close()
 
 
@@ -136,8 +136,8 @@
 ) -> None:
     """The time counted from the restart, so that a repeat could take effect twice."""
     desk = Desk(tmp_path, given)
-    message = replace(keyed(), deadline_us=desk.now + 15 * SECOND, legs=1)
-    message.unsettled = {0: desk.now - gone_s * SECOND}
+    message = replace(keyed(), deadline_us=desk.now + 15 * SECOND_US, attempts_made=1)
+    message.unsettled = {0: desk.now - gone_s * SECOND_US}
     desk.journal.take(message)
     desk.exchange.adopt(message)
     desk.run(10_000)
@@ -147,14 +147,14 @@
 
 def test_a_repeat_that_waits_for_its_connection_heeds_the_time_of_its_key(tmp_path: Path) -> None:
     desk = Desk(tmp_path)
-    message = replace(keyed(), deadline_us=desk.now + 15 * SECOND)
+    message = replace(keyed(), deadline_us=desk.now + 15 * SECOND_US)
     desk.exchange.submit(message)
     desk.run(10_000)
     assert desk.exchange.begin(desk.calls[0])
     desk.exchange.settle(desk.calls[0], Result.ERROR)
     while len(desk.calls) < 2:
         desk.run(5000)
-    desk.now += 4 * SECOND
+    desk.now += 4 * SECOND_US
     assert len(desk.calls) == 2 and not desk.exchange.begin(desk.calls[1])
 
 
@@ -163,16 +163,16 @@
 ) -> None:
     """A journal that is compacted, or a slow disk, holds the sender up between the look and the call."""
     desk = Desk(tmp_path)
-    desk.exchange.submit(replace(keyed(), deadline_us=desk.now + 15 * SECOND))
+    desk.exchange.submit(replace(keyed(), deadline_us=desk.now + 15 * SECOND_US))
     desk.run(10_000)
     assert desk.exchange.begin(desk.calls[0])
     desk.exchange.settle(desk.calls[0], Result.ERROR)
-    desk.run(SECOND)
+    desk.run(SECOND_US)
     record = Journal.begin
 
-    def record_late(journal: Journal, message: Message, leg: int) -> bool:
-        desk.now += 4 * SECOND
-        return record(journal, message, leg)
+    def record_late(journal: Journal, message: Message, attempt_number: int) -> bool:
+        desk.now += 4 * SECOND_US
+        return record(journal, message, attempt_number)
 
     monkeypatch.setattr(Journal, "begin", record_late)
     assert not desk.exchange.begin(desk.calls[1])
@@ -182,11 +182,11 @@
 def test_a_repeat_inside_one_zone_goes_while_its_key_holds(tmp_path: Path) -> None:
     """Only a restart loses where the first attempt ran; without one each repeat was stopped for nothing."""
     desk = Desk(tmp_path, ZONED)
-    desk.exchange.submit(replace(keyed(), deadline_us=desk.now + 15 * SECOND))
+    desk.exchange.submit(replace(keyed(), deadline_us=desk.now + 15 * SECOND_US))
     desk.run(10_000)
     assert desk.exchange.begin(desk.calls[0])
     desk.exchange.settle(desk.calls[0], Result.ERROR)
-    desk.run(SECOND)
+    desk.run(SECOND_US)
     assert desk.exchange.begin(desk.calls[1])
     desk.exchange.settle(desk.calls[1], Result.OK)
     assert desk.ends == {"m1": End(Ending.DELIVERED)}
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -24,14 +24,14 @@
 from rowanrack.net.http import Reply
 from rowanrack.net.ring import RingBuffer
 from rowanrack.net.stream import Stream
-from rowanspindle import Scope, Settings, Status
-from rowanspindle.asking import Asking
-from rowanspindle.held import NEVER
+from rowanspindle import EndpointStatus, Settings, UpdateScope
+from rowanspindle.held_messages import NEVER
+from rowanspindle.list_watch import ListWatch
 from rowanspindle.wire import parse_settings
 from tests import rig as shared
 from tests.rig import SETTINGS, Rig, entry, instance, on_loop
 from tests.rig import silent as silent_endpoint
-from tests.test_core import SECOND, Desk
+from tests.test_core import SECOND_US, Desk
 
 OLD, NEW = 1, 2  # discovery's ports
 
@@ -111,10 +111,10 @@
 
     @property
     def now_s(self) -> float:
-        return (self.desk.now - self.began) / SECOND
+        return (self.desk.now - self.began) / SECOND_US
 
     def at(self, when_s: float, action: Callable[[], None]) -> None:
-        self.exchange.after(round(when_s * SECOND), action)
+        self.exchange.after(round(when_s * SECOND_US), action)
 
     def change(self, *hosts: dict[str, Any]) -> None:
         self.seq += 1
@@ -163,7 +163,7 @@
 
     async def run(self, until_s: float) -> None:
         """Let time pass up to there."""
-        await pass_time(self.desk, self.began + round(until_s * SECOND), self._look)
+        await pass_time(self.desk, self.began + round(until_s * SECOND_US), self._look)
 
     def _look(self) -> None:
         listed = self.exchange.table.listed("i0")
@@ -407,7 +407,7 @@
     tries: int,
 ) -> None:
     """Whatever failed before, and however long; also if the first call behind a failed one falls silent."""
-    kept = keeper(*then, news_s=0.0, rules={"ask_within_us": round(within_s * SECOND)})
+    kept = keeper(*then, news_s=0.0, rules={"ask_within_us": round(within_s * SECOND_US)})
     kept.outage = outage = Outage(part, tries, connects)
     await kept.run(120)
     assert outage.back_s is not None and kept.known_s is not None
@@ -461,7 +461,7 @@
     """It froze the whole list for as long as it stood there. What was known of it counts no more."""
     kept = keeper(news_s=5.0)
     kept.hosts["i1"] = (5, entry("i1", 2))
-    kept.exchange.list_instances(Scope.FULL, [instance("i0", 1), instance("i1", 2)])
+    kept.exchange.list_instances(UpdateScope.FULL, [instance("i0", 1), instance("i1", 2)])
     kept.at(3.0, lambda: kept.change(entry("i1", 2) | bad))
     kept.at(4.0, lambda: kept.change(entry("i2", 3)))
     await kept.run(4.5)
@@ -532,7 +532,7 @@
     first = asyncio.ensure_future(kept.watch.first())
     await kept.run(0.02)
     assert first.done() and "i9" in kept.exchange.table.names() and kept.known_s is not None
-    for plan, until_s in (((), 0.02), ((silent,), discovery.FIRST_US / SECOND + 0.02)):
+    for plan, until_s in (((), 0.02), ((silent,), discovery.FIRST_US / SECOND_US + 0.02)):
         none = keeper(*plan, news_s=99.0)  # nothing new, or discovery that is not there, holds nothing up
         none.watch = DiscoveryWatch(none.exchange, "discovery", OLD, 5, pushed=True)
         first = asyncio.ensure_future(none.watch.first())
@@ -561,7 +561,7 @@
     config = config_of(tmp_path, mode, {})
     assert config.settings.on_request and config.platform is not None
     assert config.platform.pushed is (mode == "pushed")
-    assert Asking(config.settings).at == 0
+    assert ListWatch(config.settings).next_request_at == 0
 
 
 @pytest.mark.parametrize(("grace_ms", "most_s"), [(500, 0.25), (250, 0.125), (1, 0.125), (None, 0.125)])
@@ -570,10 +570,10 @@
 ) -> None:
     """What the agent gets when discovery returns counts at once: it was asked again after up to 1.25 s."""
     config = config_of(tmp_path, "pushed", {} if grace_ms is None else {"drain_grace_us": grace_ms * 1000})
-    asking = Asking(config.settings)
+    asking = ListWatch(config.settings)
     for _ in range(12):
         asking.failed(0, Random(1))
-        assert 0.1 * SECOND <= asking.at <= most_s * SECOND
+        assert 0.1 * SECOND_US <= asking.next_request_at <= most_s * SECOND_US
 
 
 def test_rules_that_are_null_leave_the_usual_drain_grace(tmp_path: Path) -> None:
@@ -591,26 +591,26 @@
     return platform_config({"ROUTER_CONFIG": str(folder / "c.json"), "ROUTER_STATE": str(folder)})
 
 
-@pytest.mark.parametrize(("within_us", "most_s"), [(1, 0.13), (4 * SECOND, 1.25), (40 * SECOND, 3.5)])
+@pytest.mark.parametrize(("within_us", "most_s"), [(1, 0.13), (4 * SECOND_US, 1.25), (40 * SECOND_US, 3.5)])
 def test_the_pause_after_a_failure_grows_and_is_never_none(within_us: int, most_s: float) -> None:
     settings = Settings(
         classes=parse_settings(json.dumps(SETTINGS)).classes,
         slots=1, most_held=1, tenants={}, kinds={}, on_request=True, ask_within_us=within_us,
     )  # fmt: skip
-    asking, now = Asking(settings), 0
+    asking, now = ListWatch(settings), 0
     pauses = []
     for _ in range(12):
         asking.failed(now, Random(1))
-        pauses.append(asking.at - now)
-        now = asking.at
-    assert pauses == sorted(pauses) and pauses[0] >= 0.1 * SECOND and pauses[-1] <= most_s * SECOND
+        pauses.append(asking.next_request_at - now)
+        now = asking.next_request_at
+    assert pauses == sorted(pauses) and pauses[0] >= 0.1 * SECOND_US and pauses[-1] <= most_s * SECOND_US
     asking.listed()
     asking.failed(now, Random(1))
-    assert asking.at - now == pauses[0]
-    pushed = Asking(replace(settings, on_request=False))
+    assert asking.next_request_at - now == pauses[0]
+    pushed = ListWatch(replace(settings, on_request=False))
     pushed.failed(now, Random(1))
-    assert pushed.at == NEVER  # on the wire, where changes come unasked
+    assert pushed.next_request_at == NEVER  # on the wire, where changes come unasked
 
 
 def test_statuses_are_those_of_the_protocol() -> None:
-    assert {discovery.STATUSES[word] for word in ("SERVING", "DRAINING", "DELETED")} == set(Status)
+    assert {discovery.STATUSES[word] for word in ("SERVING", "DRAINING", "DELETED")} == set(EndpointStatus)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,32 +14,32 @@
 import pytest
 
 from rowanrack.core.messages import End, Ending, Message
-from rowanrack.load import governor as load
-from rowanrack.load.governor import Governor, Level
-from rowanrack.load.metered import Metered
+from rowanrack.load import load_shedder as load
+from rowanrack.load.load_shedder import Level, LoadShedder
+from rowanrack.load.metered import CpuMeteredCoroutine
+from rowanrack.net.fair_scheduling import CLIENTS, FEW, ConnectionPriority, FairSelector
 from rowanrack.net.listener import AT_ONCE, OWED_US
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import LoopClock
-from rowanrack.net.turns import CLIENTS, FEW, Rank, Turns
 from tests.rig import Rig, on_loop, resp, silent
-from tests.test_core import SECOND, Desk
+from tests.test_core import SECOND_US, Desk
 from tests.test_otlp import logs
 
 MS = 1000
 
 
-def spans(governor: Governor, count: int, late_us: int, strangers: float = 0.0) -> None:
+def spans(load_shedder: LoadShedder, count: int, late_us: int, strangers: float = 0.0) -> None:
     """So many spans in which every round is so late, and strangers use that share of the time."""
     for _ in range(count):
         for _ in range(10):
-            governor.spent(strangers * load.SPAN_US / 10)
-            governor._test_now += load.SPAN_US // 10  # type: ignore[attr-defined]
-            governor.ran(governor._test_now, late_us)  # type: ignore[attr-defined]
+            load_shedder.spent(strangers * load.SPAN_US / 10)
+            load_shedder._test_now += load.SPAN_US // 10  # type: ignore[attr-defined]
+            load_shedder.record_delay(load_shedder._test_now, late_us)  # type: ignore[attr-defined]
 
 
 @pytest.fixture
-def governor() -> Governor:
-    made = Governor(0)
+def load_shedder() -> LoadShedder:
+    made = LoadShedder(0)
     made._test_now = 0  # type: ignore[attr-defined]
     return made
 
@@ -55,104 +55,104 @@
     ],
 )
 def test_what_is_shed_follows_from_how_late_rounds_run(
-    governor: Governor, late_us: int, level: Level, refuses: bool
+    load_shedder: LoadShedder, late_us: int, level: Level, refuses: bool
 ) -> None:
-    spans(governor, 1, late_us)
-    assert governor.level is level and any(governor.refuses() for _ in range(10)) is refuses
+    spans(load_shedder, 1, late_us)
+    assert load_shedder.level is level and any(load_shedder.refuses() for _ in range(10)) is refuses
 
 
-def test_one_late_turn_in_a_span_is_no_state(governor: Governor) -> None:
+def test_one_late_turn_in_a_span_is_no_state(load_shedder: LoadShedder) -> None:
     for n in range(60):
-        governor.ran(n * 10 * MS, 400 * MS if n == 30 else 0)
-    assert governor.level is Level.CALM
+        load_shedder.record_delay(n * 10 * MS, 400 * MS if n == 30 else 0)
+    assert load_shedder.level is Level.CALM
 
 
-def test_a_span_in_which_nothing_ran_was_late_itself(governor: Governor) -> None:
-    governor.ran(5 * SECOND, 0)
-    assert governor.level is Level.HARD
+def test_a_span_in_which_nothing_ran_was_late_itself(load_shedder: LoadShedder) -> None:
+    load_shedder.record_delay(5 * SECOND_US, 0)
+    assert load_shedder.level is Level.HARD
 
 
-def test_a_level_ends_step_by_step_after_easy_spans(governor: Governor) -> None:
-    spans(governor, 2, load.HARD_LATE_US)
+def test_a_level_ends_step_by_step_after_easy_spans(load_shedder: LoadShedder) -> None:
+    spans(load_shedder, 2, load.HARD_LATE_US)
     levels = list[Level]()
     for easy in (load.EASY_SPANS - 1, None, load.EASY_SPANS - 1, 1, load.EASY_SPANS):
         if easy is None:
-            spans(governor, 1, int(load.HARD_LATE_US * 0.7))  # not late, nor easy: the count begins anew
+            spans(load_shedder, 1, int(load.HARD_LATE_US * 0.7))  # not late, nor easy: the count begins anew
         else:
-            governor.refused_share = 0.0  # which keeps the level on
-            spans(governor, easy, 0)
-        levels.append(governor.level)
+            load_shedder.refused_share = 0.0  # which keeps the level on
+            spans(load_shedder, easy, 0)
+        levels.append(load_shedder.level)
     assert levels == [Level.HARD, Level.HARD, Level.HARD, Level.TIGHT, Level.CALM]
 
 
 def test_on_call_reads_one_line_at_the_begin_and_one_at_the_end(
-    governor: Governor, caplog: pytest.LogCaptureFixture
+    load_shedder: LoadShedder, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    spans(governor, 3, load.TIGHT_LATE_US, 0.3)
-    spans(governor, 3, load.HARD_LATE_US)
-    while governor.refused < 2:
-        governor.refuses()
-    spans(governor, 9 * load.EASY_SPANS, 0)
+    spans(load_shedder, 3, load.TIGHT_LATE_US, 0.3)
+    spans(load_shedder, 3, load.HARD_LATE_US)
+    while load_shedder.refused < 2:
+        load_shedder.refuses()
+    spans(load_shedder, 9 * load.EASY_SPANS, 0)
     texts = [record.getMessage() for record in caplog.records]
     assert len(texts) == 2
     assert texts[0] == "the core is full: rounds are 50 ms late, strangers use 30% of the time"
     assert "has room again" in texts[1] and "2 messages were refused early" in texts[1]
 
 
-def test_strangers_wait_longer_while_they_use_more_than_their_share(governor: Governor) -> None:
-    spans(governor, 3, 0, strangers=0.08)
-    assert (governor.penalty_us, governor.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
-    spans(governor, 30, load.HARD_LATE_US, strangers=0.08)  # too much when the core is full
-    assert (governor.penalty_us, governor.penalties(200)) == (load.PENALTY_MOST_US, 100)
-    spans(governor, 30, load.HARD_LATE_US, strangers=0.02)
-    assert (governor.penalty_us, governor.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
-    assert governor.penalties(16) == load.PENALTIES
+def test_strangers_wait_longer_while_they_use_more_than_their_share(load_shedder: LoadShedder) -> None:
+    spans(load_shedder, 3, 0, strangers=0.08)
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
+    spans(load_shedder, 30, load.HARD_LATE_US, strangers=0.08)  # too much when the core is full
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_MOST_US, 100)
+    spans(load_shedder, 30, load.HARD_LATE_US, strangers=0.02)
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
+    assert load_shedder.penalties(16) == load.PENALTIES
 
 
-def test_as_many_are_refused_early_as_must_be(governor: Governor) -> None:
+def test_as_many_are_refused_early_as_must_be(load_shedder: LoadShedder) -> None:
     """All or none at a level left two thirds of a full core's work undone, and swung."""
     shares = list[float]()
     for late_us in (load.HARD_LATE_US, load.HARD_LATE_US, int(load.HARD_LATE_US * 0.7), 0, 0, 0, 0, 0, 0, 0):
-        spans(governor, 1, late_us)
-        shares.append(governor.refused_share)
+        spans(load_shedder, 1, late_us)
+        shares.append(load_shedder.refused_share)
     assert shares[:5] == pytest.approx([0.25, 0.5, 0.5, 0.3, 0.18]) and shares[-1] == 0.0
-    governor.refused_share = 0.3
-    refused = [bool(governor.refuses()) for _ in range(40)]
+    load_shedder.refused_share = 0.3
+    refused = [bool(load_shedder.refuses()) for _ in range(40)]
     assert sum(refused) in (11, 12) and all(1 <= sum(refused[n : n + 8]) <= 3 for n in range(32))
-    spans(governor, 1, load.HARD_LATE_US)
-    assert governor.level is Level.HARD
+    spans(load_shedder, 1, load.HARD_LATE_US)
+    assert load_shedder.level is Level.HARD
 
 
 def test_connections_wait_while_strangers_use_more_than_their_share_of_a_full_core(
-    governor: Governor,
+    load_shedder: LoadShedder,
 ) -> None:
-    governor.wasted(10 * SECOND)
-    assert governor.pace_us(0) == 0  # the core has room
-    spans(governor, 1, load.TIGHT_LATE_US)
+    load_shedder.wasted(10 * SECOND_US)
+    assert load_shedder.pace_us(0) == 0  # the core has room
+    spans(load_shedder, 1, load.TIGHT_LATE_US)
     now, taken = load.SPAN_US, 0
-    governor.pace_us(now)
-    governor._debt_us = 0.0
-    while now < 20 * SECOND:  # each comes as soon as it may, and costs a millisecond
-        if wait_us := governor.pace_us(now):
+    load_shedder.pace_us(now)
+    load_shedder._debt_us = 0.0
+    while now < 20 * SECOND_US:  # each comes as soon as it may, and costs a millisecond
+        if wait_us := load_shedder.pace_us(now):
             assert wait_us <= load.PACE_MOST_US
             now += wait_us
         else:
-            governor.wasted(1 * MS)
+            load_shedder.wasted(1 * MS)
             now, taken = now + 1 * MS, taken + 1
     share = load.STRANGERS_SHARE[Level.TIGHT]
-    assert taken * MS == pytest.approx(19.5 * SECOND * share + load.DEBT_US, rel=0.05)
+    assert taken * MS == pytest.approx(19.5 * SECOND_US * share + load.DEBT_US, rel=0.05)
 
 
-def test_a_core_on_which_strangers_are_paced_is_still_full(governor: Governor) -> None:
-    spans(governor, 1, load.TIGHT_LATE_US)
+def test_a_core_on_which_strangers_are_paced_is_still_full(load_shedder: LoadShedder) -> None:
+    spans(load_shedder, 1, load.TIGHT_LATE_US)
     for _ in range(3 * load.EASY_SPANS):
-        governor.wasted(5 * SECOND)
-        assert governor.pace_us(governor._test_now)  # type: ignore[attr-defined]
-        spans(governor, 1, 0)
-    levels = [governor.level]
-    spans(governor, load.EASY_SPANS, 0)
-    assert [*levels, governor.level] == [Level.TIGHT, Level.CALM]
+        load_shedder.wasted(5 * SECOND_US)
+        assert load_shedder.pace_us(load_shedder._test_now)  # type: ignore[attr-defined]
+        spans(load_shedder, 1, 0)
+    levels = [load_shedder.level]
+    spans(load_shedder, load.EASY_SPANS, 0)
+    assert [*levels, load_shedder.level] == [Level.TIGHT, Level.CALM]
 
 
 class Keeper:
@@ -161,27 +161,27 @@
     def __init__(self) -> None:
         self.pace, self.lates = 0, list[int]()
 
-    def ran(self, now_us: int, late_us: int) -> None:
+    def record_delay(self, now_us: int, late_us: int) -> None:
         self.lates.append(late_us)
 
     def pace_us(self, now_us: int) -> int:
         return self.pace
 
 
-def watched(turns: Turns, rank: Rank, count: int, used_us: float = 0.0) -> list[int]:
+def watched(turns: FairSelector, rank: ConnectionPriority, count: int, used_us: float = 0.0) -> list[int]:
     """Connections that stand ready, by their descriptors."""
     pairs = [socket.socketpair() for _ in range(count)]
     for mine, other in pairs:
         other.send(b"x")
         turns.register(mine, selectors.EVENT_READ, (mine, other))
-        if rank is not Rank.OURS:
+        if rank is not ConnectionPriority.INTERNAL:
             turns.rank(mine.fileno(), rank, used_us)
     return [mine.fileno() for mine, _ in pairs]
 
 
 @pytest.fixture
-def turns() -> Iterator[Turns]:
-    made = Turns()
+def turns() -> Iterator[FairSelector]:
+    made = FairSelector()
     made.keeper = Keeper()
     yield made
     for key in list(made.get_map().values()):
@@ -191,30 +191,35 @@
     made.close()
 
 
-def served(turns: Turns) -> list[int]:
+def served(turns: FairSelector) -> list[int]:
     return [key.fd for key, _ in turns.select(0)]
 
 
-def test_a_turn_serves_all_that_is_ours_first_and_a_bounded_number_of_clients(turns: Turns) -> None:
-    clients, strangers = watched(turns, Rank.CLIENT, 40), watched(turns, Rank.STRANGER, 30)
-    ours = watched(turns, Rank.OURS, 50)
+def test_a_turn_serves_all_that_is_ours_first_and_a_bounded_number_of_clients(turns: FairSelector) -> None:
+    clients, strangers = (
+        watched(turns, ConnectionPriority.CLIENT, 40),
+        watched(turns, ConnectionPriority.NEW_CLIENT, 30),
+    )
+    ours = watched(turns, ConnectionPriority.INTERNAL, 50)
     now = served(turns)
     assert set(now[:50]) == set(ours) and len(now) == 50 + 2 * CLIENTS
     assert set(now[50 : 50 + CLIENTS]) <= set(clients) and set(now[50 + CLIENTS :]) <= set(strangers)
 
 
-def test_each_client_that_is_ready_has_its_turn(turns: Turns) -> None:
+def test_each_client_that_is_ready_has_its_turn(turns: FairSelector) -> None:
     """Nobody reads, so that all stay ready: those that have waited longest go first."""
-    clients = watched(turns, Rank.CLIENT, 5 * CLIENTS)
+    clients = watched(turns, ConnectionPriority.CLIENT, 5 * CLIENTS)
     for _ in range(3):
         assert {fd for _ in range(5) for fd in served(turns)} == set(clients)
     keeper = turns.keeper
     assert isinstance(keeper, Keeper) and max(keeper.lates) > 0  # the wait is told
 
 
-def test_strangers_beyond_their_share_get_few_turns_and_their_wait_is_no_lateness(turns: Turns) -> None:
-    drips = watched(turns, Rank.STRANGER, 30, used_us=5 * MS)
-    new = watched(turns, Rank.STRANGER, FEW)
+def test_strangers_beyond_their_share_get_few_turns_and_their_wait_is_no_lateness(
+    turns: FairSelector,
+) -> None:
+    drips = watched(turns, ConnectionPriority.NEW_CLIENT, 30, used_us=5 * MS)
+    new = watched(turns, ConnectionPriority.NEW_CLIENT, FEW)
     assert isinstance(turns.keeper, Keeper)
     turns.keeper.pace = 1
     assert all(set(served(turns)) == set(new) for _ in range(5))
@@ -222,23 +227,23 @@
     turns.keeper.pace = 0
     assert set(new) <= set(served(turns)) and not turns.keeper.lates
     for descriptor in drips:
-        turns.rank(descriptor, Rank.STRANGER)  # as if all were new
+        turns.rank(descriptor, ConnectionPriority.NEW_CLIENT)  # as if all were new
     assert [served(turns) for _ in range(2)] and turns.keeper.lates
 
 
-def test_strangers_that_have_had_their_turns_make_the_core_no_fuller(turns: Turns) -> None:
+def test_strangers_that_have_had_their_turns_make_the_core_no_fuller(turns: FairSelector) -> None:
     """200 that sent single bytes had nearly all messages of usual clients refused early."""
-    watched(turns, Rank.STRANGER, 5 * CLIENTS, used_us=5 * MS)
+    watched(turns, ConnectionPriority.NEW_CLIENT, 5 * CLIENTS, used_us=5 * MS)
     for _ in range(10):
         assert len(served(turns)) == CLIENTS
     assert isinstance(turns.keeper, Keeper) and not turns.keeper.lates
 
 
-def test_a_rank_ends_with_its_connection(turns: Turns) -> None:
-    (descriptor,) = watched(turns, Rank.STRANGER, 1)
+def test_a_rank_ends_with_its_connection(turns: FairSelector) -> None:
+    (descriptor,) = watched(turns, ConnectionPriority.NEW_CLIENT, 1)
     key = turns.unregister(descriptor)
     turns.register(key.fileobj, selectors.EVENT_READ, key.data)  # as something else under the same number
-    watched(turns, Rank.CLIENT, 2 * CLIENTS)
+    watched(turns, ConnectionPriority.CLIENT, 2 * CLIENTS)
     assert served(turns)[0] == descriptor
 
 
@@ -247,10 +252,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(load, "STRANGER_MOST_US", 3 * MS)
-    monkeypatch.setattr(load, "PIECES_US", SECOND)  # else it comes in larger pieces
+    monkeypatch.setattr(load, "PIECES_US", SECOND_US)  # else it comes in larger pieces
     async with Rig(tmp_path, silent) as rig:
         began, client = asyncio.get_running_loop().time(), await rig.client()
-        rig.sender.exchange.governor.level = Level.TIGHT
+        rig.sender.exchange.load_shedder.level = Level.TIGHT
         with contextlib.suppress(OSError):  # it is closed while we write
             for byte in b"*5\r\n$6\r\nSUBMIT\r\n$9000\r\n" + b"x" * 8000:
                 if client.stream.ended:
@@ -277,7 +282,7 @@
     """On a full machine good requests were refused: a process not run for 20 ms blamed who stood there."""
     async with Rig(tmp_path, silent) as rig:
         front = rig.sender.fronts[0][0]
-        front.governor.level, talk = Level.TIGHT, front.talk
+        front.load_shedder.level, talk = Level.TIGHT, front.talk
 
         async def talks(stream: Stream) -> None:
             step(3 * load.STRANGER_MOST_US / 1e6)
@@ -315,7 +320,7 @@
     monkeypatch.setattr(load, "PIECES_US", 300)
     async with Rig(tmp_path, silent) as rig:
         loop, front, steps = asyncio.get_running_loop(), rig.sender.fronts[0][0], list[float]()
-        rig.sender.exchange.governor.level = Level.TIGHT
+        rig.sender.exchange.load_shedder.level = Level.TIGHT
         charge = front._charge
         front._charge = lambda stream, us: (steps.append(us), charge(stream, us))[1]  # type: ignore
         began, client, sent = loop.time(), await rig.client(), 0
@@ -337,7 +342,7 @@
     """Whoever had just come made one, too, and kept usual clients out beside bad ones."""
     async with Rig(tmp_path, silent) as rig:
         front, wasted = rig.sender.fronts[0][0], list[float]()
-        front.governor.wasted = wasted.append  # type: ignore[assignment, method-assign]
+        front.load_shedder.wasted = wasted.append  # type: ignore[assignment, method-assign]
         usual, bad, quiet = [await rig.client() for _ in range(3)]
         assert await usual.submit("m1") == b"+OK\r\n"
         assert (await bad.command("NO")).startswith(b"-ERR")
@@ -380,7 +385,7 @@
             await asyncio.sleep(0)
         last.close()
         assert turns >= 300 // AT_ONCE
-        assert front.governor._debt_us > 0
+        assert front.load_shedder._debt_us > 0
 
 
 @on_loop
@@ -397,11 +402,11 @@
             sock.close()
 
 
-def test_time_of_one_that_makes_a_good_request_is_given_back(governor: Governor) -> None:
-    governor.spent(400 * MS)
-    governor.spent(-400 * MS)
-    spans(governor, 1, load.TIGHT_LATE_US)
-    assert governor.share == 0.0
+def test_time_of_one_that_makes_a_good_request_is_given_back(load_shedder: LoadShedder) -> None:
+    load_shedder.spent(400 * MS)
+    load_shedder.spent(-400 * MS)
+    spans(load_shedder, 1, load.TIGHT_LATE_US)
+    assert load_shedder.share == 0.0
 
 
 @on_loop
@@ -413,10 +418,10 @@
         if fails:
             raise OSError("gone")
 
-    await Metered(inner(False), told.append)
+    await CpuMeteredCoroutine(inner(False), told.append)
     assert len(told) == 2 and sum(told) < 15_000  # the wait is not among it
     with pytest.raises(OSError, match="gone"):
-        await Metered(inner(True), told.append)
+        await CpuMeteredCoroutine(inner(True), told.append)
     cancelled = list[bool]()
 
     async def cleans_up() -> None:
@@ -428,7 +433,7 @@
             raise
 
     async def outer() -> None:
-        await Metered(cleans_up(), told.append)
+        await CpuMeteredCoroutine(cleans_up(), told.append)
 
     task = asyncio.create_task(outer())
     await asyncio.sleep(0)
@@ -437,20 +442,20 @@
     assert task.cancelled() and cancelled == [True]
 
 
-@pytest.mark.parametrize("entry", ["knock", "submit", "too_busy"])
+@pytest.mark.parametrize("entry", ["run_overdue_round", "submit", "too_busy"])
 def test_a_message_has_its_end_though_every_round_is_late(tmp_path: Path, entry: str) -> None:
     """A core that was full came to its rounds late, and a message owed got no end in its time."""
     desk, told = Desk(tmp_path), dict[str, int]()
     desk.exchange.listeners["platform"] = lambda m, end: told.update({m.id: desk.now - m.deadline_us})
     desk.submit("order")  # out, with no answer
     for n in range(6):
-        message = Message(f"m{n}", "album-update", "a", 7, desk.now + (n + 1) * SECOND, b"x", "platform")
+        message = Message(f"m{n}", "album-update", "a", 7, desk.now + (n + 1) * SECOND_US, b"x", "platform")
         assert desk.exchange.submit(message) is None
     for n in range(800):  # the loop never comes to the rounds; somebody else always wants something
         desk.now += 10 * MS
         match entry:
-            case "knock":
-                desk.exchange.knock()
+            case "run_overdue_round":
+                desk.exchange.run_overdue_round()
             case "too_busy":
                 desk.exchange.too_busy("another")
             case _:
@@ -465,7 +470,7 @@
     desk.exchange.round_over = lambda: told.append("over")
     desk.submit("order")
     told.clear()
-    desk.now += 4 * SECOND
+    desk.now += 4 * SECOND_US
     desk.exchange.pump()
     assert told == ["order", "over"]
 
@@ -517,13 +522,13 @@
     async with Rig(tmp_path, silent) as rig:
         client = await rig.client()
         assert await client.submit("m1") == b"+OK\r\n"
-        rig.sender.exchange.governor.refused_share = 1.0
+        rig.sender.exchange.load_shedder.refused_share = 1.0
         assert await client.submit("m2") == b"-BUSY 1000\r\n"
         assert await client.submit("m1") == b"+OK\r\n"  # it is owed
         assert list(rig.sender.journal.owed) == ["m1"]
         refused = await rig.export(b"no protobuf at all")
         assert (refused.status, refused.headers["retry-after"]) == (503, "1")
-        rig.sender.exchange.governor.refused_share = 0.0
+        rig.sender.exchange.load_shedder.refused_share = 0.0
         assert await client.submit("m2") == b"+OK\r\n"
         assert (await rig.export(logs(dest="99"))).status == 503
 
@@ -532,7 +537,7 @@
 async def test_strangers_are_charged_until_their_first_good_request(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         front, spent = rig.sender.fronts[0][0], list[float]()
-        front.governor.spent = spent.append  # type: ignore[assignment, method-assign]
+        front.load_shedder.spent = spent.append  # type: ignore[assignment, method-assign]
         client = await rig.client()
         assert await client.command("PING") == b"+PONG\r\n"
         (stream,) = front.streams
--- a/tests/test_lowered.py
+++ b/tests/test_lowered.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rowanrack.model.engine import SECOND
+from rowanrack.model.engine import SECOND_US
 from rowanspindle import Result
 from tests.helpers import Caller, member
 from tests.test_fleet import played, settled
@@ -30,13 +30,13 @@
 def test_who_holds_more_has_more_of_a_pace(senders: int, held: int, times: float) -> None:
     """Each had as much, with one message that waits as with eight; none takes more than all of it."""
     caller = Caller(member("t1", weight=40.0), replicas=senders)
-    caller.end(caller.accept(), Result.FULL, wait_us=10 * SECOND)
+    caller.end(caller.accept(), Result.FULL, wait_us=10 * SECOND_US)
     for _ in range(held - 1):
         caller.accept()
     forwarder, endpoint = caller.forwarder, caller.forwarder.endpoints["t1"]
-    forwarder.now += SECOND
+    forwarder.now += SECOND_US
     crowd, _ = forwarder.crowd(endpoint, caller.now)
-    assert crowd == max(1.0, endpoint.gate.crowd(SECOND) / times)
+    assert crowd == max(1.0, endpoint.shared_limit.crowd(SECOND_US) / times)
 
 
 @pytest.mark.parametrize(("left_us", "goes"), [(150_000, False), (300_000, True)])
@@ -47,6 +47,6 @@
         caller.end(caller.accept(), Result.OK)
         refused = caller.accept()
         caller.end(refused, Result.FULL, latency_us=200_000)
-        caller.wait(2 * SECOND)
+        caller.wait(2 * SECOND_US)
         caller.end(refused, Result.OK)
     assert caller.is_out(caller.accept(left_us=left_us)) is goes
--- a/tests/test_measured.py
+++ b/tests/test_measured.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from rowanspindle import Disconnect, Members, Result, Scope, Send
+from rowanspindle import Disconnect, EndpointListUpdate, Result, Send, UpdateScope
+from rowanspindle.data_structures import RunningMean
 from rowanspindle.logic import SMOOTH
-from rowanspindle.order import Usual
-from tests.helpers import SECOND, Caller, member
+from tests.helpers import SECOND_US, Caller, member
 
 
 def run_at(rate: float, seconds: float, **changes: object) -> Caller:
@@ -15,7 +15,7 @@
     caller = Caller(member("t1", weight=1.0), weights_told=False, **changes)
     for _ in range(int(rate * seconds)):
         caller.end(caller.accept())
-        caller.wait(int(SECOND / rate))
+        caller.wait(int(SECOND_US / rate))
     caller.accept()
     return caller
 
@@ -23,15 +23,17 @@
 @pytest.mark.parametrize("replicas", [3, 300])
 def test_own_calls_stand_in_for_a_rate_that_is_not_told(replicas: int) -> None:
     """The weight 1 of a list without weights was taken for one call a second of the whole destination."""
-    gate = run_at(4.0, 40.0, replicas=replicas).forwarder.endpoints["t1"].gate
+    gate = run_at(4.0, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit
     assert gate.weight == pytest.approx(4.0 * replicas, rel=0.15)
 
 
 @pytest.mark.parametrize("replicas", [3, 300])
 def test_parts_follow_uneven_demand_in_sum(replicas: int) -> None:
     """One forwarder has nearly all the traffic: what all may send for long stays near what was taken."""
-    busy, quiet = (run_at(r, 40.0, replicas=replicas).forwarder.endpoints["t1"].gate for r in (20.0, 0.1))
-    age = 60 * SECOND
+    busy, quiet = (
+        run_at(r, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit for r in (20.0, 0.1)
+    )
+    age = 60 * SECOND_US
     total = busy.weight / busy.crowd(age) + (replicas - 1) * quiet.weight / quiet.crowd(age)
     assert total < 1.5 * (20.0 + (replicas - 1) * 0.1)
     assert busy.weight / busy.crowd(age) > 15
@@ -41,48 +43,48 @@
     """What a destination took before its outage is what it takes after it, not the trials' trickle."""
     caller = run_at(4.0, 20.0)
     endpoint = caller.forwarder.endpoints["t1"]
-    before = endpoint.gate.weight
+    before = endpoint.shared_limit.weight
     for _ in range(3):
         caller.end(next(iter(caller.out))[0], Result.CONNECT_FAILED)
     for second in range(40):
-        caller.wait(SECOND)
+        caller.wait(SECOND_US)
         caller.accept()
         for ref in [r for r, _ in caller.out]:
             caller.end(ref, Result.OK if second > 20 else Result.CONNECT_FAILED)
     while endpoint.ramp_from is not None:
-        caller.wait(SECOND // 10)
+        caller.wait(SECOND_US // 10)
         caller.accept()
         for ref in [r for r, _ in caller.out]:
             caller.end(ref)
     caller.accept()
-    assert endpoint.gate.weight > 0.8 * before
+    assert endpoint.shared_limit.weight > 0.8 * before
 
 
 def test_told_rates_are_used_as_they_are() -> None:
     caller = Caller(member("t1", weight=9.0))
     caller.accept()
-    assert caller.forwarder.endpoints["t1"].gate.weight == 9.0
+    assert caller.forwarder.endpoints["t1"].shared_limit.weight == 9.0
 
 
 def test_rates_listed_again_do_not_replace_measured_ones() -> None:
     caller = run_at(4.0, 40.0)
-    caller.step(Members(Scope.DELTA, (member("t1", weight=1.0),)))
-    assert caller.forwarder.endpoints["t1"].gate.weight > 3
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t1", weight=1.0),)))
+    assert caller.forwarder.endpoints["t1"].shared_limit.weight > 3
 
 
 def test_with_equal_ranks_the_fleet_spreads() -> None:
     """Ties went to the first name: every forwarder used one endpoint of each destination."""
     from random import Random
 
-    from rowanspindle import Accept, Forwarder, Kind, Settings
+    from rowanspindle import Accept, DestinationKind, Forwarder, Settings
     from tests.helpers import SAFE
 
-    settings = Settings({"safe": SAFE}, 4, 20, {}, {"plain": Kind()})
+    settings = Settings({"safe": SAFE}, 4, 20, {}, {"plain": DestinationKind()})
     used = set()
     for seed in range(20):
         forwarder = Forwarder(settings, Random(seed).randrange(1 << 40))
-        listed = Members(Scope.FULL, (member("t1"), member("t2")))
-        actions = forwarder.decide(SECOND, [listed, Accept(1, "safe", 1, 20 * SECOND)])
+        listed = EndpointListUpdate(UpdateScope.FULL, (member("t1"), member("t2")))
+        actions = forwarder.decide(SECOND_US, [listed, Accept(1, "safe", 1, 20 * SECOND_US)])
         used |= {a.target for a in actions if isinstance(a, Send)}
     assert used == {"t1", "t2"}
 
@@ -120,7 +122,7 @@
         for _ in range(2):
             ref = caller.accept(dest=dest)
             target = caller.sends()[-1][1].target
-            caller.end(ref, latency_us=2 * SECOND if target.startswith("f") else 200_000)
+            caller.end(ref, latency_us=2 * SECOND_US if target.startswith("f") else 200_000)
     for dest in (6, 7):
         caller.accept(dest=dest)
         assert caller.sends()[-1][1].target == f"n{dest}"
@@ -130,7 +132,7 @@
     """How many calls go to the near zone before the first goes to one that answers in twice the time."""
     caller = Caller(member("near", zone="z"), member("far", zone="y"), member("other", dest=2))
     for zone, us in ("z", 50_000.0), ("y", 100_000.0):
-        usual = caller.forwarder.zones[zone] = Usual(SMOOTH)
+        usual = caller.forwarder.zones[zone] = RunningMean(SMOOTH)
         for _ in range(40):
             usual.add(us)
     for _ in range(others):
@@ -155,20 +157,20 @@
     for limit, one in ((None, caller), (4.0, told)):
         for _ in range(10):  # the answers tell it, a few times
             one.end(one.accept(), limit=limit)
-            one.wait(SECOND)
+            one.wait(SECOND_US)
         began = one.now
         for _ in range(20):
             one.accept()
-            one.wait(SECOND // 20)
+            one.wait(SECOND_US // 20)
         assert (len(one.sends(since=began)) > 5) is (limit is None)
 
 
 def test_a_report_that_cannot_be_does_not_stop_a_destination() -> None:
     caller = Caller(member("t1", weight=40.0), slots=60)
     caller.end(caller.accept(), limit=1e-9)
-    gate = caller.forwarder.endpoints["t1"].gate
+    gate = caller.forwarder.endpoints["t1"].shared_limit
     assert gate.weight == 5.0
-    caller.wait(SECOND)
+    caller.wait(SECOND_US)
     caller.end(caller.accept(), limit=1e300)
     assert gate.weight < 40.0
 
@@ -176,8 +178,8 @@
 def test_a_limit_that_is_told_outlasts_the_next_list() -> None:
     caller = Caller(member("t1", weight=40.0))
     caller.end(caller.accept(), limit=20.0)
-    caller.step(Members(Scope.FULL, (member("t1", weight=40.0),)))
-    assert caller.forwarder.endpoints["t1"].gate.weight == 20.0
+    caller.step(EndpointListUpdate(UpdateScope.FULL, (member("t1", weight=40.0),)))
+    assert caller.forwarder.endpoints["t1"].shared_limit.weight == 20.0
 
 
 def test_the_slow_one_of_two_endpoints_is_left() -> None:
@@ -185,7 +187,7 @@
     caller, times = Caller(member("t1"), member("t2"), slots=60), {"t1": 900_000, "t2": 200_000}
     for _ in range(20):
         pair = [caller.accept(), caller.accept()]
-        caller.wait(SECOND)
+        caller.wait(SECOND_US)
         for ref in pair:
             caller.end(ref, latency_us=times[caller.out[ref, 0]])
     late = [a.target for _, a in caller.sends()][8:]
--- a/tests/test_mgmt.py
+++ b/tests/test_mgmt.py
@@ -15,13 +15,13 @@
 
 import pytest
 
-from rowanrack.core.figures import Figures
 from rowanrack.core.messages import End, Ending, Message
+from rowanrack.core.metrics import Metrics
 from rowanrack.fronts.mgmt.calls import answer, answer_in_time
 from rowanrack.net.http import Request
 from rowanrack.store.bans import BanFile
 from rowanrack.store.journal import Journal, JournalError
-from rowanspindle import Scope, Status
+from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import Process, Rig, answers, on_loop, silent
 from tests.test_platform import OK
 
@@ -90,7 +90,7 @@
 
 
 def test_the_figures_count_by_class_and_name_every_class() -> None:
-    figures = Figures()
+    figures = Metrics()
     figures.ended("print-order", Ending.DELIVERED)
     figures.ended("print-order", Ending.FAILED)
     figures.ended("print-order", Ending.OVER)
@@ -112,8 +112,8 @@
         exchange = rig.sender.exchange
         assert not exchange.detach("nobody")
         assert exchange.detach("i0") and exchange.detach("i0")
-        assert exchange.table.get("i0").status is Status.DRAINING  # type: ignore[union-attr]
-        exchange.list_instances(Scope.FULL, rig.known)
+        assert exchange.table.get("i0").status is EndpointStatus.DRAINING  # type: ignore[union-attr]
+        exchange.list_instances(UpdateScope.FULL, rig.known)
         assert not exchange.table.listed("i0") and exchange.ejected == 1
         assert exchange.attach("i0")  # two detaches, one attach
         assert exchange.table.listed("i0") and exchange.ejected == 0
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -14,7 +14,7 @@
 
 from rowanrack.model import sender as senders
 from rowanrack.model.compare import interval, judge
-from rowanrack.model.engine import SECOND, Engine, RunawayError, chance
+from rowanrack.model.engine import SECOND_US, Engine, RunawayError, chance
 from rowanrack.model.history import Entry, History
 from rowanrack.model.partner import Answer, Figures, Partner, Place, State, Visit
 from rowanrack.model.pool import RunError, Worker
@@ -23,7 +23,7 @@
 from rowanrack.model.sender import told_by
 from rowanrack.model.variants import Variant
 from rowanrack.model.world import World, play
-from rowanspindle.notes import Fact, Note, What
+from rowanspindle.notes import Fact, FactKind, Note
 
 ROOT = Path(__file__).parent.parent
 SMALL = """
@@ -116,7 +116,7 @@
 
 def place_of(limit: str = "rate", told: float = 1.0, **changes: Any) -> Place:
     figures = Figures(limit, 4.0, 1_000_000, told, (200_000, 200_000), True, 100_000.0, 0.1, 2, 1, 2, 0.0,
-                      0.25, 8 * SECOND, 1.5, SECOND, 1.0)  # fmt: skip
+                      0.25, 8 * SECOND_US, 1.5, SECOND_US, 1.0)  # fmt: skip
     for name, value in changes.items():
         setattr(figures, name, value)
     partner = Partner(1, "lab", "a", figures, Engine(100_000), History(), chance(1, "test"))
@@ -130,7 +130,7 @@
     for n in range(count):
         place.visit(Visit(sender, f"m{n}", 0, answers.append))
     engine = place.partner.engine
-    engine.run(engine.now + SECOND)
+    engine.run(engine.now + SECOND_US)
     return answers
 
 
@@ -139,7 +139,7 @@
     place.partner.figures.depth = 9
     answers = call(place, 6)
     assert [a.status for a in answers].count(200) == 4
-    assert {a.wait_us for a in answers if a.status == 429} == {SECOND}
+    assert {a.wait_us for a in answers if a.status == 429} == {SECOND_US}
     assert call(place)[0].status == 200
 
 
@@ -182,7 +182,7 @@
     (fell,) = [e for e in place.partner.history.entries if e.what == "fell"]
     assert fell.value == percent
     states = [place.state]
-    for wait in (0, 11 * SECOND):
+    for wait in (0, 11 * SECOND_US):
         place.recover()
         place.partner.engine.run(place.partner.engine.now + wait)
         states.append(place.state)
@@ -190,7 +190,7 @@
 
 
 def took(message: str = "1.1", cls: str = "order", at: int = 0) -> Entry:
-    return Entry(at, "take", 0, message, dest=7, note=cls, value=5 * SECOND)
+    return Entry(at, "take", 0, message, dest=7, note=cls, value=5 * SECOND_US)
 
 
 def begin(leg: int, at: int, place: str = "p") -> Entry:
@@ -214,9 +214,14 @@
     [
         (GOOD, None),
         ([took()], "lost"),
-        ([took(), end(6 * SECOND, "failed")], "lost"),
+        ([took(), end(6 * SECOND_US, "failed")], "lost"),
         (
-            [took(), Entry(5 * SECOND, "kill", 0), Entry(6 * SECOND, "ready", 0), end(7 * SECOND, "failed")],
+            [
+                took(),
+                Entry(5 * SECOND_US, "kill", 0),
+                Entry(6 * SECOND_US, "ready", 0),
+                end(7 * SECOND_US, "failed"),
+            ],
             None,
         ),
         ([*GOOD, end(50)], "end"),
@@ -229,10 +234,13 @@
         ([took(cls="update"), begin(0, 10), settle(0, 20, "reset"), begin(1, 30), end(40)], None),
         ([took(), begin(0, 10), settle(0, 20, "timeout"), end(30, "refused")], "repeat"),
         ([took(), begin(0, 10), Entry(20, "kill", 0), begin(1, 30), end(40)], "repeat"),
-        ([Entry(0, "told", 0, place="p"), took(), begin(0, 400 * MS), end(SECOND)], None),
-        ([Entry(0, "told", 0, place="p"), took(), begin(0, 501 * MS), end(SECOND)], "drain"),
-        ([took(), begin(0, 10), settle(0, 20, "full", 500 * MS), begin(1, 400 * MS), end(SECOND)], "wait"),
-        ([took(), begin(0, 10), settle(0, 20, "full", 500 * MS), begin(1, 500 * MS + 20), end(SECOND)], None),
+        ([Entry(0, "told", 0, place="p"), took(), begin(0, 400 * MS), end(SECOND_US)], None),
+        ([Entry(0, "told", 0, place="p"), took(), begin(0, 501 * MS), end(SECOND_US)], "drain"),
+        ([took(), begin(0, 10), settle(0, 20, "full", 500 * MS), begin(1, 400 * MS), end(SECOND_US)], "wait"),
+        (
+            [took(), begin(0, 10), settle(0, 20, "full", 500 * MS), begin(1, 500 * MS + 20), end(SECOND_US)],
+            None,
+        ),
         ([Entry(0, "fell", place="p", value=70)], "cold"),
         ([Entry(0, "fell", place="p", value=60)], None),
         (
@@ -382,7 +390,7 @@
     for row in rows:
         begins, ends = row["phase"]
         made = [e.place for e in world.history.entries
-                if e.what == "begin" and e.dest == 4 and begins <= e.at / SECOND < ends]  # fmt: skip
+                if e.what == "begin" and e.dest == 4 and begins <= e.at / SECOND_US < ends]  # fmt: skip
         count = {name: made.count(name) for name in (f"p4-{n + 1}" for n in range(row["places"]))}
         assert row["calls"] == len(made) > 0
         assert row["peak"] == max(count.values()) * len(count) / sum(count.values())
@@ -401,7 +409,9 @@
     world = World(parse(SMALL + "at 2 s for 500 ms senders 1 to 2 die", "x"), 1)
     assert world.run()["rules"] == "kept"
     lives = [(e.what, e.at, e.sender) for e in world.history.entries if e.what in ("kill", "ready")]
-    assert lives[2:] == [(w, at, n) for w, at in (("kill", 2 * SECOND), ("ready", 2_500_000)) for n in (0, 1)]
+    assert lives[2:] == [
+        (w, at, n) for w, at in (("kill", 2 * SECOND_US), ("ready", 2_500_000)) for n in (0, 1)
+    ]
 
 
 def test_notes_may_go_to_some_of_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -416,9 +426,9 @@
     world = World(scenario, 1)
     result = world.run()
     assert world.notes % 8 == 0 and result["notes"]["bytes"] > 2 * result["notes"]["datagrams"] > 0
-    hearsay = world.senders[0].exchange.forwarder.hearsay
-    hearsay.heard(5, Note(1, (Fact(What.WORK, 7, 3),)), world.engine.now)
-    assert hearsay.crowd(7, 1, world.engine.now) == 1 + 3 * 79 / 8
+    hearsay = world.senders[0].exchange.forwarder.gossip
+    hearsay.receive(5, Note(1, (Fact(FactKind.WORK, 7, 3),)), world.engine.now)
+    assert hearsay.active_senders(7, 1, world.engine.now) == 1 + 3 * 79 / 8
 
 
 def test_reports_are_written(small: Path, tmp_path: Path) -> None:
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -9,24 +9,26 @@
 from rowanspindle import (
     Accept,
     Effect,
+    EndpointListUpdate,
+    EndpointStatus,
     Forwarder,
-    Members,
     MessageClass,
     Outcome,
     Result,
-    Scope,
-    Status,
-    Timer,
+    TimerFired,
+    UpdateScope,
 )
-from tests.helpers import BASE, SAFE, SECOND, Caller, member
+from tests.helpers import BASE, SAFE, SECOND_US, Caller, member
 
 
 def test_odd_events_are_passed_over() -> None:
     caller = Caller(member("t1", weight=0.0), tenants={})
-    caller.step(Outcome(77, 0, "t1", Result.OK, 5, True), Timer(99), Members(Scope.DELTA, ()))
-    caller.step(Members(Scope.DELTA, (member("t8", status=Status.REMOVED),)))
+    caller.step(
+        Outcome(77, 0, "t1", Result.OK, 5, True), TimerFired(99), EndpointListUpdate(UpdateScope.DELTA, ())
+    )
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t8", status=EndpointStatus.REMOVED),)))
     ref = caller.accept(tenant=None)
-    caller.now += 3600 * SECOND
+    caller.now += 3600 * SECOND_US
     caller.step()
     assert ref in caller.ended
 
@@ -35,7 +37,7 @@
     """It stayed among the old destination's routes, and got that destination's messages."""
     caller = Caller(member("t1", dest=1), member("t2", dest=1))
     before = [caller.accept(dest=1) for _ in range(2)]
-    caller.step(Members(Scope.DELTA, (member("t2", dest=2),)))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t2", dest=2),)))
     after = [caller.accept(dest=1) for _ in range(4)]
     moved = caller.accept(dest=2)
     targets = {s.ref: s.target for _, s in caller.sends()}
@@ -48,8 +50,8 @@
 def test_an_endpoint_may_return_under_its_old_name() -> None:
     caller = Caller(member("t1"))
     first = caller.accept()
-    caller.step(Members(Scope.FULL, ()))
-    caller.step(Members(Scope.FULL, (member("t1"),)))
+    caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
+    caller.step(EndpointListUpdate(UpdateScope.FULL, (member("t1"),)))
     second = caller.accept()
     caller.end(first)
     caller.end(second)
@@ -58,7 +60,7 @@
 
 def test_batches_hold_at_most_so_many_messages_and_one_slot() -> None:
     caller = Caller(member("t1", kind="batch"), slots=1)
-    caller.step(*[Accept(n, "safe", 1, 20 * SECOND) for n in range(100, 108)])
+    caller.step(*[Accept(n, "safe", 1, 20 * SECOND_US) for n in range(100, 108)])
     assert len(caller.sends()) == 5 and len(caller.forwarder.endpoints["t1"].calls) == 1
 
 
@@ -77,17 +79,17 @@
             caller.accept(cls)
             for ref in [r for r, _ in caller.out]:
                 caller.end(ref, Result.FULL)
-            caller.wait(SECOND)
+            caller.wait(SECOND_US)
         logs.append(caller.log)
     assert logs[0] == logs[1] and len(logs[0]) > 6
 
 
 def test_a_lost_list_is_asked_for_again_with_backoff() -> None:
     caller = Caller(on_request=True)
-    caller.step(Members(Scope.FAILED))
-    caller.wait(2 * SECOND)
-    watches = [t for t, a in caller.log if type(a).__name__ == "Watch"]
-    assert len(watches) == 2 and watches[1] >= watches[0] + SECOND
+    caller.step(EndpointListUpdate(UpdateScope.FAILED))
+    caller.wait(2 * SECOND_US)
+    watches = [t for t, a in caller.log if type(a).__name__ == "WatchEndpointList"]
+    assert len(watches) == 2 and watches[1] >= watches[0] + SECOND_US
 
 
 def test_bad_values_are_named() -> None:
@@ -115,5 +117,5 @@
     for turn in range(60):
         for ref, _leg in list(caller.out):
             caller.end(ref, (Result.OK, Result.FULL, Result.ERROR)[turn % 3])
-        caller.wait(SECOND // 2)
+        caller.wait(SECOND_US // 2)
     assert set(refs) <= set(caller.ended)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from rowanspindle import Accept, MessageClass
-from rowanspindle.held import Hold, Message, turns
+from rowanspindle.data_structures import DeadlineQueue, PriorityQueue, TimeSortedList
+from rowanspindle.held_messages import HeldMessages, Message, urgency_breakpoints
 from rowanspindle.logic import Forwarder
-from rowanspindle.order import Agenda, ByTime, Ranking
-from tests.helpers import BASE, KEYED, SAFE, SECOND, UNSAFE, ZONED, Caller, member
+from tests.helpers import BASE, KEYED, SAFE, SECOND_US, UNSAFE, ZONED, Caller, member
 
 KEYS, TIMES = st.integers(0, 12), st.integers(0, 40)
 STEPS = st.lists(st.tuples(st.sampled_from(["set", "set", "set", "drop", "due"]), KEYS, TIMES), max_size=300)
@@ -23,7 +23,7 @@
 
 @given(STEPS)
 def test_an_agenda_is_a_walk_of_all_its_times(steps: list[tuple[str, int, int]]) -> None:
-    agenda, model = Agenda[int](), dict[int, int]()
+    agenda, model = DeadlineQueue[int](), dict[int, int]()
     for step, key, at in steps:
         match step:
             case "set":
@@ -46,7 +46,7 @@
 
 @given(STEPS)
 def test_a_ranking_is_a_walk_of_all_its_scores(steps: list[tuple[str, int, int]]) -> None:
-    ranking, model = Ranking[int](), dict[int, tuple[float, int]]()
+    ranking, model = PriorityQueue[int](), dict[int, tuple[float, int]]()
     for now, (step, key, at) in enumerate(steps):
         if step == "drop":
             ranking.drop(key)
@@ -64,7 +64,7 @@
 
 @given(st.lists(st.tuples(st.booleans(), TIMES), max_size=200), st.lists(TIMES, min_size=1, max_size=4))
 def test_things_by_time_are_a_sorted_list(steps: list[tuple[bool, int]], asked: list[int]) -> None:
-    things, model = ByTime[int](), list[tuple[int, int]]()
+    things, model = TimeSortedList[int](), list[tuple[int, int]]()
     for number, (adds, at) in enumerate(steps):
         if adds or not model:
             things.add(at, number, number)
@@ -85,7 +85,7 @@
 
 
 def test_the_first_of_a_ranking_is_looked_at_until_it_stands() -> None:
-    ranking, scores, looked = Ranking[str](), {"a": 9.0, "b": 2.0, "c": 3.0}, list[str]()
+    ranking, scores, looked = PriorityQueue[str](), {"a": 9.0, "b": 2.0, "c": 3.0}, list[str]()
     for at, (key, score) in enumerate([("a", 1.0), ("b", 2.0), ("c", 3.0)]):
         ranking.set(key, (score,), at)
 
@@ -93,8 +93,8 @@
         looked.append(key)
         ranking.set(key, (scores[key],), 10)
 
-    assert ranking.fresh_first(5, 8, look) == "b" and looked == ["a", "b"]
-    assert ranking.fresh_first(5, 0, look) == "b"
+    assert ranking.first_refreshed(5, 8, look) == "b" and looked == ["a", "b"]
+    assert ranking.first_refreshed(5, 0, look) == "b"
     looked.clear()
     ranking.refresh(5, 1, look)
     assert looked == ["c"]
@@ -102,21 +102,21 @@
     assert looked == ["c"]  # the others stand
 
 
-def waiting(cls: MessageClass, lefts: list[int], now: int) -> Hold:
+def waiting(cls: MessageClass, lefts: list[int], now: int) -> HeldMessages:
     """A hold with messages of a class that have so long left."""
-    hold = Hold()
+    hold = HeldMessages()
     for ref, left in enumerate(lefts):
         message = Message(Accept(ref, cls.name, 1, left), cls, now, 1.0)
-        hold.add(message, message.sort_of(True))
+        hold.add(message, message.group_for(True))
     return hold
 
 
 @settings(deadline=None)
 @given(
     st.sampled_from([SAFE, KEYED, UNSAFE]),
-    st.lists(st.integers(1, 20 * SECOND), min_size=9, max_size=60),
-    st.integers(SECOND, 10 * SECOND),
-    st.integers(1000, 3 * SECOND),
+    st.lists(st.integers(1, 20 * SECOND_US), min_size=9, max_size=60),
+    st.integers(SECOND_US, 10 * SECOND_US),
+    st.integers(1000, 3 * SECOND_US),
     st.booleans(),
 )
 def test_the_most_urgent_stands_at_a_turn(
@@ -124,41 +124,44 @@
 ) -> None:
     """A walk of the whole hold finds nothing that is more urgent by a hundredth of a worth."""
     forwarder = Forwarder(replace(BASE, halves=halves), 1)
-    forwarder.now = now = 1000 * SECOND
+    forwarder.now = now = 1000 * SECOND_US
     answer = now + mean_us
     ((_, _, line),) = waiting(cls, lefts, now).sendable()
 
     def most(messages: list[Message]) -> float:
         return max(forwarder.urgency(m, answer, drain_us) for m in messages)
 
-    found = line.around(turns(cls, answer, drain_us, halves))
+    found = line.around(urgency_breakpoints(cls, answer, drain_us, halves))
     everything = [line[n] for n in range(len(line))]
     assert most(found) >= most(everything) - 0.01 * cls.worth
     assert len(found) <= 12
 
 
-@given(st.lists(st.integers(1, 20 * SECOND), min_size=1, max_size=60), st.sampled_from([SAFE, UNSAFE]))
+@given(st.lists(st.integers(1, 20 * SECOND_US), min_size=1, max_size=60), st.sampled_from([SAFE, UNSAFE]))
 def test_the_least_valuable_is_that_of_a_walk(lefts: list[int], cls: MessageClass) -> None:
     caller = Caller(member("t1", weight=2.0))
     forwarder = caller.forwarder
     destination = forwarder.destinations[1]
-    destination.hold = waiting(cls, lefts, forwarder.now)
+    destination.held = waiting(cls, lefts, forwarder.now)
     drained = forwarder.now + forwarder.drain_us(destination)
     least = forwarder.least(destination)
-    everything = [line[n] for line in destination.hold.refusable() for n in range(len(line))]
+    everything = [line[n] for line in destination.held.refusable() for n in range(len(line))]
     assert least is not None
     best = min((m.value(drained, False), -m.deadline) for m in everything)
     assert (least.value(drained, False), -least.deadline) == best
 
 
 def test_what_has_run_in_its_zone_is_no_spare() -> None:
-    hold, message = Hold(), Message(Accept(1, "zoned", 1, SECOND, ran=True), ZONED, 0, 1.0)
-    message.ran_zone = "z"
-    hold.add(message, message.sort_of(True))
+    hold, message = (
+        HeldMessages(),
+        Message(Accept(1, "zoned", 1, SECOND_US, may_have_run=True), ZONED, 0, 1.0),
+    )
+    message.first_attempt_zone = "z"
+    hold.add(message, message.group_for(True))
     assert not list(hold.refusable()) and [zone for _, zone, _ in hold.sendable()] == ["z"]
-    assert hold.move(message, message.sort_of(False)) and not list(hold.sendable())
+    assert hold.move(message, message.group_for(False)) and not list(hold.sendable())
     hold.remove(message)
-    assert not hold and not hold.sorts
+    assert not hold and not hold.groups
     with pytest.raises(KeyError):
         hold.remove(message)
 
@@ -171,7 +174,7 @@
         caller.now += 1000
         caller.accept(dest=n % dests)
     caller.now += 1000
-    event = Accept(10**6, "safe", 3, 20 * SECOND)
+    event = Accept(10**6, "safe", 3, 20 * SECOND_US)
     return count_calls(lambda: caller.forwarder.decide(caller.now, [event]))
 
 
--- a/tests/test_otlp.py
+++ b/tests/test_otlp.py
@@ -24,7 +24,7 @@
 from rowanrack.fronts.otlp.calls import retry_after_us
 from rowanrack.fronts.otlp.signals import JSON, PROTOBUF, SIGNALS, media_type, parse_message, plain_body
 from rowanrack.net.http import Call, HttpCaller, Reply
-from rowanspindle import Scope
+from rowanspindle import UpdateScope
 from tests.rig import Rig, after, answers, on_loop, silent
 
 OK = Reply(200, {"Content-Type": PROTOBUF})
@@ -230,7 +230,7 @@
     cases += [("print-order", True), ("album-update", False)]
     async with Rig(tmp_path, answers(*script), answers(*script)) as rig:
         near, far = rig.known
-        rig.sender.exchange.list_instances(Scope.FULL, [near, replace(far, dest=8)])
+        rig.sender.exchange.list_instances(UpdateScope.FULL, [near, replace(far, dest=8)])
         rig.once_listed(98, 99)
 
         async def by_resp() -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,7 +19,7 @@
 from rowanrack.fronts.platform.resp import RespError, parse_command
 from rowanrack.net.ring import RingBuffer
 from rowanrack.store.journal import Journal, JournalError
-from rowanspindle import Scope
+from rowanspindle import UpdateScope
 from rowanspindle.wire import parse_settings
 from tests.rig import SETTINGS, entry
 
@@ -143,7 +143,7 @@
 def test_lists_are_read() -> None:
     doc = {"seq": 4, "whole": False, "hosts": [entry("h", 81, health="DELETED")]}
     seq, scope, (listed,) = parse_list(doc)
-    assert (seq, scope, listed.name, listed.port, listed.dest) == (4, Scope.DELTA, "h", 81, 7)
+    assert (seq, scope, listed.name, listed.port, listed.dest) == (4, UpdateScope.DELTA, "h", 81, 7)
 
 
 @pytest.mark.parametrize("doc", [{}, [], {"seq": 1, "whole": True, "hosts": [{}]}, None, {"hosts": 4}])
@@ -187,7 +187,7 @@
     book.journal.told("c")
     again = Book(tmp_path).journal
     assert list(again.owed) == ["a"] and again.owed["a"].body == b"body" and again.owed["a"].form == "f"
-    assert (again.owed["a"].legs, again.owed["a"].unsettled) == (2, {1: 0})
+    assert (again.owed["a"].attempts_made, again.owed["a"].unsettled) == (2, {1: 0})
     assert again.ended("b") == End(Ending.REFUSED, 700_000) and again.ended("c") == End(Ending.FAILED)
     assert again.untold("platform") == [("b", End(Ending.REFUSED, 700_000))] and again.untold("otlp") == []
 
@@ -223,14 +223,14 @@
     book = Book(tmp_path)
     message = book.message("a")
     book.journal.take(message)
-    message.legs, message.unsettled = 3, {1: 0}
+    message.attempts_made, message.unsettled = 3, {1: 0}
     for n in range(2000):
         book.journal.take(book.message(str(n)))
         book.journal.end(book.message(str(n)), End(Ending.OVER))
     book.journal.ends.clear()
     assert book.journal._compact() and book.journal.size < 1000
     again = Book(tmp_path).journal
-    assert (again.owed["a"].legs, again.owed["a"].unsettled) == (3, {1: 0})
+    assert (again.owed["a"].attempts_made, again.owed["a"].unsettled) == (3, {1: 0})
 
 
 def test_a_compaction_at_any_record_loses_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -240,7 +240,7 @@
     message = book.message("a")
     assert book.journal.take(message)
     assert list(peek(tmp_path).owed) == ["a"]
-    message.legs = 1
+    message.attempts_made = 1
     assert book.journal.begin(message, 0)
     assert peek(tmp_path).owed["a"].unsettled == {0: 0}
     book.journal.end(message, End(Ending.FAILED))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 from rowanrack.core.messages import Ending
 from rowanrack.net.http import Call, CallBrokenError, CallNotSentError, HttpCaller, Reply, Request
 from rowanrack.net.stream import Stream
-from rowanspindle import Result, Scope
+from rowanspindle import Result, UpdateScope
 from tests.rig import Process, Rig, after, answers, entry, instance, on_loop, resp, silent
 
 OK = Reply(200, {})
@@ -45,7 +45,9 @@
 async def test_idle_connections_stay_under_their_limit(tmp_path: Path) -> None:
     async with Rig(tmp_path, *(answers(OK) for _ in range(4))) as rig:
         rig.sender.pool._idle_most = 2
-        rig.sender.exchange.list_instances(Scope.FULL, [replace(i, dest=n) for n, i in enumerate(rig.known)])
+        rig.sender.exchange.list_instances(
+            UpdateScope.FULL, [replace(i, dest=n) for n, i in enumerate(rig.known)]
+        )
         client = await rig.client()
         for n in range(4):
             await client.submit(f"m{n}", dest=n)
@@ -141,7 +143,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with server, Rig(tmp_path) as rig:
         port = server.sockets[0].getsockname()[1]
-        rig.sender.exchange.list_instances(Scope.FULL, [instance("i0", port)])
+        rig.sender.exchange.list_instances(UpdateScope.FULL, [instance("i0", port)])
         await (await rig.client()).submit("m1", "print-order", d=2000)
         assert (await rig.ended("m1")).ending is Ending.DELIVERED
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -15,9 +15,9 @@
 import pytest
 
 from rowanrack.config import ConfigError, operator_config
-from rowanrack.core.messages import Message, Verdict
+from rowanrack.core.messages import CallVerdict, Message
 from rowanrack.model.calibrate import Outage, fit_limit, fit_times, outages, slow_spans
-from rowanrack.model.engine import SECOND
+from rowanrack.model.engine import SECOND_US
 from rowanrack.model.partner import Figures, Limit
 from rowanrack.model.recorded import CallSeen, finished, timeline
 from rowanrack.model.scenario import parse
@@ -52,13 +52,13 @@
 
 
 def written(
-    path: Path, blocks: int = 3, clock: Callable[[int], int] = lambda n: 5_000_000 + n * SECOND
+    path: Path, blocks: int = 3, clock: Callable[[int], int] = lambda n: 5_000_000 + n * SECOND_US
 ) -> Path:
     """A file whose block n holds one arrival."""
     writer = FileWriter(path)
     for n in range(blocks):
         records: list[Record] = [BEGINS] if not n else []
-        writer.write(clock(n), 1_000_000 + n * SECOND, [*records, Taken(n, n, "c", "", 7, 100, 3)])
+        writer.write(clock(n), 1_000_000 + n * SECOND_US, [*records, Taken(n, n, "c", "", 7, 100, 3)])
     writer.close()
     return path
 
@@ -119,7 +119,7 @@
 
 def test_a_clock_that_is_set_is_remarked_and_moves_no_record(tmp_path: Path) -> None:
     path = written(
-        tmp_path / "a.rec", clock=lambda n: 5_000_000 + n * SECOND - (3_600 * SECOND if n == 2 else 0)
+        tmp_path / "a.rec", clock=lambda n: 5_000_000 + n * SECOND_US - (3_600 * SECOND_US if n == 2 else 0)
     )
     found = read(path)
     assert found.remarks == ["the clock was set back by 3600.0 s before block 3"]
@@ -154,9 +154,11 @@
     attempt = desk.submit("secret-id")
     assert desk.exchange.begin(attempt)
     desk.now += 50_000
-    desk.exchange.settle(attempt, Verdict(Result.FULL, 300_000))
-    desk.exchange.submit(Message("m2", "print-order", "a", 99, desk.now + SECOND, b"secret-body", "platform"))
-    desk.run(4 * SECOND)
+    desk.exchange.settle(attempt, CallVerdict(Result.FULL, 300_000))
+    desk.exchange.submit(
+        Message("m2", "print-order", "a", 99, desk.now + SECOND_US, b"secret-body", "platform")
+    )
+    desk.run(4 * SECOND_US)
     recorder.close()
     found = read(tmp_path / "a.rec")
     kinds = [type(r) for r in found.records]
@@ -257,7 +259,7 @@
     recorder.flush()
     disk._thread.join(5)
     for _ in range(3):
-        desk.run(SECOND // 2)
+        desk.run(SECOND_US // 2)
         recorder.flush()
     assert desk.exchange.begin(attempt) and not desk.exchange.observers and not recorder._held
     desk.exchange.settle(attempt, Result.OK)
@@ -313,8 +315,8 @@
     """Calls at twice the rate that a limit allows, with what it says to each."""
     figures = Figures(kind, rate, window, 0.0, (0, 0), counts, 1.0, 0.0, 1, 0, 0, 0, 1.0, 1, 1.0, 1, 0.0)
     limit, rng, at, calls = Limit(figures), Random(3), 0.0, []
-    while at < seconds * SECOND:
-        at += rng.expovariate(2 * rate) * SECOND
+    while at < seconds * SECOND_US:
+        at += rng.expovariate(2 * rate) * SECOND_US
         calls.append((int(at), limit.take(int(at)) > 0))
     return calls
 
@@ -322,10 +324,10 @@
 @pytest.mark.parametrize(
     ("kind", "rate", "window", "counts"),
     [
-        ("rate", 5.0, SECOND, False),
-        ("rate", 20.0, SECOND, False),
-        ("window", 10.0, 2 * SECOND, False),
-        ("window", 6.0, 5 * SECOND, False),
+        ("rate", 5.0, SECOND_US, False),
+        ("rate", 20.0, SECOND_US, False),
+        ("window", 10.0, 2 * SECOND_US, False),
+        ("window", 6.0, 5 * SECOND_US, False),
     ],
 )
 def test_the_limit_behind_refusals_is_found(kind: str, rate: float, window: int, counts: bool) -> None:
@@ -341,10 +343,10 @@
     rng, calls, limit = (
         Random(4),
         [],
-        Limit(Figures("rate", 4.0, SECOND, 0, (0, 0), False, 1, 0, 1, 0, 0, 0, 1, 1, 1, 1, 0)),
+        Limit(Figures("rate", 4.0, SECOND_US, 0, (0, 0), False, 1, 0, 1, 0, 0, 0, 1, 1, 1, 1, 0)),
     )
     for n in range(240):
-        at = int((n + 1.5 * rng.random()) / 4.05 * SECOND)
+        at = int((n + 1.5 * rng.random()) / 4.05 * SECOND_US)
         calls.append((at, limit.take(at) > 0))
     assert 0 < sum(refused for _, refused in calls) < 30
     near, far = fit_limit(calls, 4.0), fit_limit(calls, 40.0)
@@ -384,12 +386,13 @@
 def test_outages_are_read_off_how_calls_end(
     results: tuple[str, ...], took_us: int, expected: list[tuple[int, int, str]]
 ) -> None:
-    found = outages(seen(*results, took_us=took_us), [], 5 * SECOND)
+    found = outages(seen(*results, took_us=took_us), [], 5 * SECOND_US)
     assert found == [Outage(at, lasts, "p", state) for at, lasts, state in expected]
 
 
 def test_slow_seconds_are_joined() -> None:
-    calls = [CallSeen(s * SECOND + n, s * SECOND + n + (400_000 if s in (3, 4) else 100_000), "p", 0, "ok", 0)
+    calls = [CallSeen(s * SECOND_US + n, s * SECOND_US + n + (400_000 if s in (3, 4) else 100_000),
+                      "p", 0, "ok", 0)
              for s in range(8) for n in range(5)]  # fmt: skip
     assert slow_spans(calls, 100_000.0) == [(3, 2, 4.0)]
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -91,7 +91,7 @@
         late.port = port
         async with late:
             await late.asked(1)
-            assert not rig.sender.exchange.forwarder.asking.failures
+            assert not rig.sender.exchange.forwarder.list_watch.failures
 
 
 @on_loop
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -12,7 +12,7 @@
 
 from rowanrack.core.messages import Ending
 from rowanrack.net.http import Reply
-from rowanspindle import Accept, Forwarder, Scope
+from rowanspindle import Accept, Forwarder, UpdateScope
 from rowanspindle.wire import parse_settings
 from tests.rig import SETTINGS, Rig, answers, instance, on_loop, silent
 from tests.test_otlp import logs
@@ -148,6 +148,6 @@
         await owed(rig, "m1", d=5000)
         rig.sender.close()  # as after SIGKILL
         rig.sender = first
-        first.exchange.list_instances(Scope.FULL, rig.known)
+        first.exchange.list_instances(UpdateScope.FULL, rig.known)
         await rig.until(lambda: first.exchange.counts[Ending.DELIVERED] == 1)
         assert not first.journal.owed and not (tmp_path / "messages.b.log").exists()
