--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,24 +12,24 @@
     Action,
     Cancel,
     Effect,
+    EndpointListUpdate,
+    EndpointStatus,
     Fail,
-    Members,
     Outcome,
     Refuse,
     Result,
-    Scope,
     Send,
-    Status,
+    UpdateScope,
     Withdrawn,
 )
-from tests.helpers import BASE, SECOND, Caller, member
+from tests.helpers import BASE, SECOND_US, Caller, member
 
 
 def test_every_message_ends_by_its_deadline() -> None:
     caller = Caller(member("t1"))
-    held = caller.accept("unsafe", dest=9, left_us=3 * SECOND)
-    out = caller.accept("unsafe", left_us=3 * SECOND)
-    caller.wait(3 * SECOND + BASE.answer_slack_us)
+    held = caller.accept("unsafe", dest=9, left_us=3 * SECOND_US)
+    out = caller.accept("unsafe", left_us=3 * SECOND_US)
+    caller.wait(3 * SECOND_US + BASE.answer_slack_us)
     assert caller.ended == {held: "Refuse", out: "Fail"}
 
 
@@ -37,7 +37,7 @@
     caller = Caller()
     ref = caller.accept()
     caller.end(ref)
-    caller.wait(30 * SECOND)
+    caller.wait(30 * SECOND_US)
     assert len(caller.sends()) == 1
 
 
@@ -46,7 +46,7 @@
     ref = caller.accept()
     caller.step(Withdrawn(ref), Withdrawn(ref), Withdrawn(99))
     caller.end(ref, Result.TIMEOUT)
-    caller.wait(30 * SECOND)
+    caller.wait(30 * SECOND_US)
     assert len(caller.sends()) == 1 and not caller.ended
 
 
@@ -57,7 +57,7 @@
         caller = Caller()
         ref = caller.accept("unsafe")
         caller.end(ref, result)
-        caller.wait(10 * SECOND)
+        caller.wait(10 * SECOND_US)
         if result in (Result.FULL, Result.CONNECT_FAILED):
             assert caller.legs[ref] > 1, result
         else:
@@ -68,13 +68,13 @@
     caller = Caller()
     ref = caller.accept("keyed")
     sent = caller.now
-    caller.wait(SECOND)
+    caller.wait(SECOND_US)
     caller.end(ref, Result.RESET)
     assert caller.is_out(ref)
-    caller.wait(6 * SECOND)
+    caller.wait(6 * SECOND_US)
     caller.end(ref, Result.FULL)
     assert caller.ended[ref] == "Refuse"
-    assert all(t < sent + 5 * SECOND for t, _ in caller.sends())
+    assert all(t < sent + 5 * SECOND_US for t, _ in caller.sends())
 
 
 def test_keyed_stays_in_its_group() -> None:
@@ -82,19 +82,19 @@
     ref = caller.accept("zoned")
     zone = caller.out[ref, 0]
     caller.end(ref, Result.RESET)
-    caller.wait(25 * SECOND)
+    caller.wait(25 * SECOND_US)
     assert {a.target for _, a in caller.sends()} == {zone}
     assert caller.ended[ref] == "Fail"
 
 
 def test_drained_endpoint_gets_nothing_new() -> None:
     caller = Caller(member("t1"), member("t2"))
-    caller.step(Members(Scope.DELTA, (member("t1", status=Status.DRAINING),)))
-    caller.step(Members(Scope.FAILED))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t1", status=EndpointStatus.DRAINING),)))
+    caller.step(EndpointListUpdate(UpdateScope.FAILED))
     for _ in range(6):
         caller.accept()
     assert {a.target for _, a in caller.sends()} == {"t2"}
-    caller.step(Members(Scope.FULL, ()))
+    caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
     before = len(caller.sends())
     caller.accept()
     assert len(caller.sends()) == before
@@ -103,14 +103,14 @@
 def test_a_told_wait_halts_the_whole_destination_and_ends_spread() -> None:
     caller = Caller(member("t1"), member("t2"), slots=24)
     ref = caller.accept()
-    caller.wait(SECOND // 10)
-    caller.end(ref, Result.FULL, wait_us=SECOND)
+    caller.wait(SECOND_US // 10)
+    caller.end(ref, Result.FULL, wait_us=SECOND_US)
     told = caller.now
     for _ in range(8):
         caller.accept("unsafe")
-    caller.wait(SECOND)
+    caller.wait(SECOND_US)
     assert not caller.sends(since=told)
-    caller.wait(4 * SECOND)
+    caller.wait(4 * SECOND_US)
     times = [t for t, _ in caller.sends(since=told)]
     assert times and len(set(times)) > 2, "the hold drains at once"
 
@@ -119,15 +119,15 @@
     caller = Caller(member("t1", kind="apart"), member("t2", kind="apart"))
     ref = caller.accept()
     halted = caller.out[ref, 0]
-    caller.wait(SECOND // 10)
-    caller.end(ref, Result.FULL, wait_us=2 * SECOND)
+    caller.wait(SECOND_US // 10)
+    caller.end(ref, Result.FULL, wait_us=2 * SECOND_US)
     told = caller.now
     caller.accept()
     assert {a.target for _, a in caller.sends(since=told)} == {"t1", "t2"} - {halted}
 
 
 def test_one_key_goes_one_at_a_time_in_order_and_blocks_nobody_else() -> None:
-    caller = Caller(key_rest_us=SECOND)
+    caller = Caller(key_rest_us=SECOND_US)
     first, second, other = (
         caller.accept("ordered", key="k"),
         caller.accept("ordered", key="k"),
@@ -135,15 +135,15 @@
     )
     assert caller.is_out(first) and not caller.is_out(second) and caller.is_out(other)
     caller.end(first, Result.FULL)
-    caller.wait(SECOND)
+    caller.wait(SECOND_US)
     assert caller.is_out(first) and not caller.is_out(second)
     caller.end(first, Result.RESET)
     assert caller.is_out(first), "the rest does not delay the message whose turn it is"
     rested = caller.now
     caller.end(first)
     assert not caller.is_out(second)
-    caller.wait(SECOND)
-    assert caller.is_out(second) and caller.sends()[-1][0] >= rested + SECOND
+    caller.wait(SECOND_US)
+    assert caller.is_out(second) and caller.sends()[-1][0] >= rested + SECOND_US
 
 
 def test_a_withdrawn_message_blocks_its_key_while_it_is_out() -> None:
@@ -159,25 +159,25 @@
     caller = Caller(member("t1", weight=10.0), slots=40)
     for _ in range(3):
         ref = caller.accept()
-        caller.wait(SECOND // 10)
+        caller.wait(SECOND_US // 10)
         caller.end(ref, Result.CONNECT_FAILED)
     failed = caller.now
     for _ in range(60):
         caller.accept()
     back: int | None = None
-    while caller.now < failed + 20 * SECOND:
-        caller.wait(SECOND // 10)
+    while caller.now < failed + 20 * SECOND_US:
+        caller.wait(SECOND_US // 10)
         for ref in [r for r, _ in caller.out]:
-            caller.end(ref, Result.OK if caller.now > failed + 5 * SECOND else Result.CONNECT_FAILED)
-            if caller.now > failed + 5 * SECOND:
+            caller.end(ref, Result.OK if caller.now > failed + 5 * SECOND_US else Result.CONNECT_FAILED)
+            if caller.now > failed + 5 * SECOND_US:
                 back = back or caller.now
     assert back is not None
     trials = [t for t, _ in caller.sends(since=failed) if t < back]
-    assert all(b - a >= SECOND // 2 for a, b in pairwise(trials))
-    for start in range(0, BASE.ramp_us, SECOND):
+    assert all(b - a >= SECOND_US // 2 for a, b in pairwise(trials))
+    for start in range(0, BASE.ramp_us, SECOND_US):
         span = [t for t, _ in caller.sends() if back + start <= t < back + start + BASE.fall_us]
         share = BASE.cold_share + (1 - BASE.cold_share) * start / BASE.ramp_us
-        assert len(span) <= BASE.overload_factor * share * 10 * BASE.fall_us / SECOND + 2
+        assert len(span) <= BASE.overload_factor * share * 10 * BASE.fall_us / SECOND_US + 2
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
@@ -222,7 +222,7 @@
         )
         if move == "accept":
             cls = data.draw(st.sampled_from(sorted(BASE.classes)))
-            left = data.draw(st.integers(SECOND, 20 * SECOND))
+            left = data.draw(st.integers(SECOND_US, 20 * SECOND_US))
             ref = caller.next_ref + 1
             cls_of[ref], deadline[ref] = cls, caller.now + left
             taken.append(ref)
@@ -233,7 +233,7 @@
         elif move == "end" and caller.out:
             ref, leg = data.draw(st.sampled_from(sorted(caller.out)))
             result = data.draw(st.sampled_from(list(Result)))
-            wait = data.draw(st.sampled_from([0, SECOND])) if result is Result.FULL else 0
+            wait = data.draw(st.sampled_from([0, SECOND_US])) if result is Result.FULL else 0
             target = caller.out.pop((ref, leg))
             sent = next(t for t, a in reversed(caller.log) if isinstance(a, Send) and a.ref == ref)
             if result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
@@ -246,20 +246,22 @@
                 place = target if kind == "apart" else "all"
                 waits[place] = max(waits.get(place, 0), caller.now + wait)
         elif move == "wait":
-            caller.wait(data.draw(st.integers(1, 3 * SECOND)))
+            caller.wait(data.draw(st.integers(1, 3 * SECOND_US)))
         elif move == "list":
-            status = data.draw(st.sampled_from(list(Status)))
-            if status is Status.LISTED:
+            status = data.draw(st.sampled_from(list(EndpointStatus)))
+            if status is EndpointStatus.LISTED:
                 gone.discard("t2")
             else:
                 gone.add("t2")
-            caller.step(Members(Scope.DELTA, (member("t2", kind=kind, zone="y", status=status),)))
+            caller.step(
+                EndpointListUpdate(UpdateScope.DELTA, (member("t2", kind=kind, zone="y", status=status),))
+            )
         elif move == "withdraw" and taken:
             ref = data.draw(st.sampled_from(taken))
             if ref not in caller.ended:
                 caller.ended[ref] = "Withdrawn"
                 caller.step(Withdrawn(ref))
-    caller.wait(25 * SECOND)
+    caller.wait(25 * SECOND_US)
     assert set(taken) <= set(caller.ended)
 
 
@@ -267,11 +269,11 @@
     """Found by the random sequences: a route that left the list and came back forgot the wait it was told."""
     caller = Caller(member("t1", kind="apart"))
     ref = caller.accept()
-    caller.end(ref, Result.FULL, wait_us=2 * SECOND)
-    caller.step(Members(Scope.FULL, ()))
-    caller.step(Members(Scope.FULL, (member("t1", kind="apart"),)))
+    caller.end(ref, Result.FULL, wait_us=2 * SECOND_US)
+    caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
+    caller.step(EndpointListUpdate(UpdateScope.FULL, (member("t1", kind="apart"),)))
     assert not caller.is_out(ref)
-    caller.wait(4 * SECOND)
+    caller.wait(4 * SECOND_US)
     assert caller.is_out(ref)
 
 
@@ -279,8 +281,8 @@
     caller = Caller()
     ref = caller.accept("ordered", key="k")
     caller.end(ref)
-    caller.step(Members(Scope.FULL, ()))
-    caller.wait(60 * SECOND)
+    caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
+    caller.wait(60 * SECOND_US)
     caller.step()
     forwarder = caller.forwarder
     assert not (forwarder.messages or forwarder.attempts or forwarder.keys or forwarder.endpoints)
@@ -293,7 +295,7 @@
         caller = Caller(member("t1", dest=1), member("t2", dest=2), member("t3", dest=3), slots=2)
         caller.accept(cls, dest=1)
         caller.accept(cls, dest=2)
-        caller.wait(seconds * SECOND)
+        caller.wait(seconds * SECOND_US)
         assert not any(isinstance(a, Cancel) for _, a in caller.log)
         caller.accept(dest=3)
         assert any(isinstance(a, Cancel) for _, a in caller.log) is called_off
@@ -303,18 +305,18 @@
     """Incident idccf9c: single long calls were read as outages, and slow starts followed."""
     caller = Caller(member("t1", weight=2.0))
     ref = caller.accept("unsafe")
-    caller.wait(3 * SECOND)
+    caller.wait(3 * SECOND_US)
     assert not caller.logs()
-    caller.wait(2 * SECOND)
+    caller.wait(2 * SECOND_US)
     assert any("silent" in line for line in caller.logs())
-    caller.end(ref, latency_us=5 * SECOND)
+    caller.end(ref, latency_us=5 * SECOND_US)
     refs = [caller.accept("unsafe") for _ in range(2)]
     assert all(map(caller.is_out, refs))
 
 
 def test_a_full_hold_sheds_what_may_earn_least() -> None:
     caller = Caller(member("t1"), most_held=10)
-    caller.step(Members(Scope.FULL, ()))
+    caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
     dear = [caller.accept("unsafe") for _ in range(5)]
     cheap = [caller.accept("safe") for _ in range(6)]
     assert not any(r in caller.ended for r in dear)
@@ -327,11 +329,11 @@
     lost = caller.accept("unsafe")
     for _ in range(6):
         ref = caller.accept()
-        caller.wait(SECOND // 2)
+        caller.wait(SECOND_US // 2)
         assert caller.is_out(ref)
         caller.end(ref)
     assert caller.is_out(lost) and not any(isinstance(a, Cancel) for _, a in caller.log)
-    caller.step(Members(Scope.DELTA, (member("t2", dest=2),)))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t2", dest=2),)))
     caller.accept()
     caller.accept(dest=2)
     assert [a.ref for _, a in caller.log if isinstance(a, Cancel)] == [lost]
@@ -341,7 +343,7 @@
     """Incident iae2142: four calls refused together were read as a shut destination."""
     caller = Caller(member("t1", weight=20.0), slots=20)
     refs = [caller.accept("unsafe") for _ in range(4)]
-    caller.wait(SECOND // 10)
+    caller.wait(SECOND_US // 10)
     for ref in refs:
         caller.end(ref, Result.FULL)
     assert not caller.logs()
@@ -350,15 +352,15 @@
 def test_every_message_of_a_call_may_prolong_the_told_wait() -> None:
     """Found by the rule hunt (h80106d): the messages of one call are told the wait in batches apart."""
     caller = Caller(member("t1", kind="batch"))
-    caller.step(*[Accept(n, "safe", 1, 20 * SECOND) for n in (100, 101)])
-    caller.wait(SECOND // 10)
-    caller.end(100, Result.FULL, wait_us=SECOND)
-    caller.wait(SECOND // 2)
-    caller.end(101, Result.FULL, wait_us=SECOND)
+    caller.step(*[Accept(n, "safe", 1, 20 * SECOND_US) for n in (100, 101)])
+    caller.wait(SECOND_US // 10)
+    caller.end(100, Result.FULL, wait_us=SECOND_US)
+    caller.wait(SECOND_US // 2)
+    caller.end(101, Result.FULL, wait_us=SECOND_US)
     told = caller.now
-    caller.wait(5 * SECOND)
+    caller.wait(5 * SECOND_US)
     later = [t for t, _ in caller.sends(since=told)]
-    assert later and min(later) > told + SECOND
+    assert later and min(later) > told + SECOND_US
 
 
 def test_what_may_not_go_again_is_given_longer_before_it_is_called_off() -> None:
@@ -367,11 +369,11 @@
         caller = Caller(member("t1", dest=1, zone="y"), member("t3", dest=3), slots=2)
         caller.accept(cls, dest=1)
         other = caller.accept(cls, dest=1)
-        caller.wait(SECOND)
-        caller.end(other, latency_us=SECOND)
+        caller.wait(SECOND_US)
+        caller.end(other, latency_us=SECOND_US)
         caller.accept(cls, dest=1)
         silence = caller.forwarder.endpoints["t1"].silence_us()
-        caller.wait(int(silence) - SECOND + SECOND // 10)
+        caller.wait(int(silence) - SECOND_US + SECOND_US // 10)
         caller.accept(dest=3)
         assert any(isinstance(a, Cancel) for _, a in caller.log) is called_off
 
@@ -382,12 +384,12 @@
     caller.watch = lambda now, action: None
     for _ in range(20):
         caller.accept()
-        caller.wait(SECOND // 10)
+        caller.wait(SECOND_US // 10)
         for ref in [r for r, _ in caller.out]:
             caller.end(ref, Result.CONNECT_FAILED)
     endpoints = caller.forwarder.endpoints.values()
     assert all(e.out_since is not None for e in endpoints)
     while not caller.out:
-        caller.wait(SECOND // 10)
+        caller.wait(SECOND_US // 10)
     caller.end(next(iter(caller.out))[0])
     assert all(e.out_since is None and e.ramp_from is not None for e in endpoints)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,24 +11,24 @@
 from rowanspindle import (
     Accept,
     Disconnect,
+    EndpointListUpdate,
+    EndpointStatus,
     Forwarder,
-    Members,
     Outcome,
     Result,
-    Scope,
     Send,
-    Status,
+    UpdateScope,
 )
 from rowanspindle.logic import Endpoint
-from rowanspindle.pacing import Gate
-from tests.helpers import BASE, SECOND, Caller, member
+from rowanspindle.pacing import SharedLimit
+from tests.helpers import BASE, SECOND_US, Caller, member
 
 
 def calls_of_one_decision(endpoints: int) -> int:
     """Function calls that one message's arrival costs, with so many endpoints listed."""
     forwarder = Forwarder(replace(BASE, replicas=200), 1)
     listed = tuple(member(f"t{n}", dest=n // 2) for n in range(endpoints))
-    forwarder.decide(0, [Members(Scope.FULL, listed)])
+    forwarder.decide(0, [EndpointListUpdate(UpdateScope.FULL, listed)])
     count = 0
 
     def tally(_frame: object, event: str, _arg: object) -> None:
@@ -38,7 +38,7 @@
     gc.disable()  # hypothesis hooks into collections, and its calls would count as well
     sys.setprofile(tally)
     try:
-        forwarder.decide(SECOND, [Accept(1, "safe", 3, 20 * SECOND, "a")])
+        forwarder.decide(SECOND_US, [Accept(1, "safe", 3, 20 * SECOND_US, "a")])
     finally:
         sys.setprofile(None)
         gc.enable()
@@ -50,12 +50,12 @@
 
 
 def test_the_crowd_is_one_at_first_and_the_whole_fleet_at_last() -> None:
-    gate = Gate(replace(BASE, replicas=200), 4.0, 1.0, 0)
+    gate = SharedLimit(replace(BASE, replicas=200), 4.0, 1.0, 0)
     assert gate.crowd(0) == 1
-    assert gate.crowd(SECOND) == pytest.approx(5, rel=0.05)
-    assert gate.crowd(3600 * SECOND) == pytest.approx(200)
-    assert Gate(replace(BASE, replicas=2), 10.0, 1.0, 0).crowd(SECOND) == pytest.approx(2, rel=0.05)
-    assert Gate(replace(BASE, replicas=1), 10.0, 1.0, 0).crowd(SECOND) == 1
+    assert gate.crowd(SECOND_US) == pytest.approx(5, rel=0.05)
+    assert gate.crowd(3600 * SECOND_US) == pytest.approx(200)
+    assert SharedLimit(replace(BASE, replicas=2), 10.0, 1.0, 0).crowd(SECOND_US) == pytest.approx(2, rel=0.05)
+    assert SharedLimit(replace(BASE, replicas=1), 10.0, 1.0, 0).crowd(SECOND_US) == 1
 
 
 @pytest.mark.parametrize("replicas", [3, 40, 200])
@@ -67,20 +67,20 @@
         caller = Caller(member("t1", weight=weight), replicas=replicas, slots=4)
         caller.forwarder.rng.seed(number)
         learns_after = 2 * learning * number // replicas  # half seconds: each with its own work
-        caller.wait(learns_after * SECOND // 2)
+        caller.wait(learns_after * SECOND_US // 2)
         for _ in range(3):
-            caller.accept(left_us=60 * SECOND)
+            caller.accept(left_us=60 * SECOND_US)
         for _ in range(2 * since - learns_after):
             for ref, _leg in list(caller.out):
                 caller.end(ref, Result.CONNECT_FAILED)
-            caller.wait(SECOND // 2)
+            caller.wait(SECOND_US // 2)
         start = caller.now
         for _ in range(4):
-            caller.wait(SECOND // 2)
+            caller.wait(SECOND_US // 2)
             for ref, _leg in list(caller.out):
                 caller.end(ref, Result.CONNECT_FAILED)
         sends += len(caller.sends(since=start + 1))
-        early = [t for t, _ in caller.sends() if t <= caller.now - (since + 2 - learning) * SECOND]
+        early = [t for t, _ in caller.sends() if t <= caller.now - (since + 2 - learning) * SECOND_US]
         assert len(early) <= 3 or replicas < 40  # its own call and a trial or two: others learn it likewise
     assert sends / 2 <= BASE.overload_factor * BASE.cold_share * weight
 
@@ -95,10 +95,10 @@
 def test_refusals_of_a_sparse_forwarder_are_no_shut_destination() -> None:
     for replicas, shut in ((2, True), (60, False)):
         caller = Caller(member("t1", weight=20.0), replicas=replicas)
-        ref = caller.accept(left_us=60 * SECOND)
+        ref = caller.accept(left_us=60 * SECOND_US)
         for _ in range(5):
             while not caller.is_out(ref) and ref not in caller.ended:
-                caller.wait(SECOND)
+                caller.wait(SECOND_US)
             if caller.is_out(ref):
                 caller.end(ref, Result.FULL)
         assert any("refuses all" in line for line in caller.logs()) is shut
@@ -112,32 +112,32 @@
 
 
 def test_a_connection_dropped_while_idle_says_nothing_of_the_endpoint() -> None:
-    caller = Caller(member("t1", weight=20.0), replicas=50, keepalive_us=20 * SECOND)
+    caller = Caller(member("t1", weight=20.0), replicas=50, keepalive_us=20 * SECOND_US)
     caller.end(caller.accept())
-    caller.wait(2 * SECOND)
+    caller.wait(2 * SECOND_US)
     ref = caller.accept("unsafe")
-    caller.wait(SECOND // 10)
+    caller.wait(SECOND_US // 10)
     caller.end(ref, Result.RESET)
     caller.end(caller.accept())
     assert not caller.logs()
-    assert caller.forwarder.trust.us["plain"] < 2 * SECOND
+    assert caller.forwarder.connection_reuse.idle_limit_us["plain"] < 2 * SECOND_US
     assert any(isinstance(a, Disconnect) for _, a in caller.log)
 
 
 def test_a_changed_rough_rate_is_taken_in() -> None:
     caller = Caller(member("t1", weight=4.0))
-    caller.step(Members(Scope.DELTA, (member("t1", weight=9.0),)))
-    assert caller.forwarder.endpoints["t1"].gate.weight == 9.0
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t1", weight=9.0),)))
+    assert caller.forwarder.endpoints["t1"].shared_limit.weight == 9.0
 
 
 def test_a_rested_key_is_forgotten() -> None:
-    caller = Caller(key_rest_us=SECOND)
-    ref = caller.accept("ordered", key="k", left_us=3 * SECOND)
+    caller = Caller(key_rest_us=SECOND_US)
+    ref = caller.accept("ordered", key="k", left_us=3 * SECOND_US)
     caller.end(ref, Result.RESET)
-    caller.wait(30 * SECOND)
+    caller.wait(30 * SECOND_US)
     for again, _leg in list(caller.out):
         caller.end(again, Result.CANCELLED)
-    caller.wait(30 * SECOND)
+    caller.wait(30 * SECOND_US)
     assert not caller.forwarder.keys
 
 
@@ -149,9 +149,9 @@
     for result in (Result.FULL, Result.TIMEOUT, Result.ERROR, Result.RESET, Result.CONNECT_FAILED):
         for ref, _leg in list(caller.out):
             caller.end(ref, result)
-        caller.wait(SECOND)
+        caller.wait(SECOND_US)
     caller.step(Outcome(refs[0], 99, "t6", Result.OK, 5, True))
-    caller.wait(30 * SECOND)
+    caller.wait(30 * SECOND_US)
     for ref, _leg in list(caller.out):
         caller.end(ref, Result.TIMEOUT)
     assert set(refs) <= set(caller.ended)
@@ -163,14 +163,14 @@
     caller = Caller(member("t1", weight=40.0), replicas=200)
     caller.end(caller.accept(), Result.CONNECT_FAILED)
     while not caller.out:
-        caller.wait(SECOND // 10)
+        caller.wait(SECOND_US // 10)
     caller.end(caller.sends()[-1][1].ref)
     endpoint = caller.forwarder.endpoints["t1"]
     assert endpoint.ramp_from is not None
     for later in (2, 6, 10):
-        now = endpoint.ramp_from + later * SECOND
-        share = BASE.cold_share + (1 - BASE.cold_share) * later * SECOND / BASE.ramp_us
-        assert endpoint.cold_rate(now) * endpoint.gate.crowd(later * SECOND) <= share * 2.0 * 40.0
+        now = endpoint.ramp_from + later * SECOND_US
+        share = BASE.cold_share + (1 - BASE.cold_share) * later * SECOND_US / BASE.ramp_us
+        assert endpoint.cold_rate(now) * endpoint.shared_limit.crowd(later * SECOND_US) <= share * 2.0 * 40.0
 
 
 def test_nothing_is_picked_while_nothing_can_have_changed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -206,7 +206,11 @@
     second = next(iter(caller.out))[0]
     other = 3 - int(caller.out[second, 0][1:])
     assert caller.forwarder.destinations[other].choice is not None
-    caller.step(Members(Scope.DELTA, (member(f"t{other}", dest=other, status=Status.DRAINING),)))
+    caller.step(
+        EndpointListUpdate(
+            UpdateScope.DELTA, (member(f"t{other}", dest=other, status=EndpointStatus.DRAINING),)
+        )
+    )
     caller.end(second)
     assert all(a.target != f"t{other}" for _, a in caller.sends())
 
@@ -217,14 +221,14 @@
     for number in range(30):
         caller = Caller(member("t1", weight=2.0), member("t2", weight=2.0), replicas=150)
         caller.forwarder.rng.seed(number)
-        caller.accept(left_us=60 * SECOND)
+        caller.accept(left_us=60 * SECOND_US)
         start = caller.now
         for _ in range(150):
-            caller.wait(SECOND // 10)
+            caller.wait(SECOND_US // 10)
             for ref, _leg in list(caller.out):
                 caller.end(ref, Result.CONNECT_FAILED)
-        sends += [t - start for t, _ in caller.sends(since=start + 1) if t - start > SECOND]
-    busiest = max(sum(0 <= t - at < 2 * SECOND for t in sends) for at in sends)
+        sends += [t - start for t, _ in caller.sends(since=start + 1) if t - start > SECOND_US]
+    busiest = max(sum(0 <= t - at < 2 * SECOND_US for t in sends) for at in sends)
     assert busiest <= 24  # of 60; all of them when tried in step
 
 
@@ -239,14 +243,14 @@
         while len(caller.logs()) < dest:
             for ref in [r for (r, _), target in caller.out.items() if target == f"t{dest}"]:
                 caller.end(ref, Result.CONNECT_FAILED)
-            caller.wait(SECOND // 10)
+            caller.wait(SECOND_US // 10)
     for dest in (20, 21) * 10 + (22,) * 3 if busy else ():
         caller.accept("unsafe", dest=dest)
     for ref in [r for (r, _), target in caller.out.items() if target not in ("t20", "t21", "t22")]:
         caller.end(ref, Result.CONNECT_FAILED)  # trials from before hang no longer
     at_once = 0
     for _ in range(60):
-        caller.wait(SECOND // 10)
+        caller.wait(SECOND_US // 10)
         for (ref, _), target in list(caller.out.items()):
             if target in ("t20", "t21", "t22"):
                 caller.end(ref)
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -14,14 +14,14 @@
 from hypothesis import strategies as st
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.core.messages import Attempt, Batch, End, Ending, Instance, Message, Progress, Verdict
+from rowanrack.core.messages import Attempt, Batch, CallVerdict, End, Ending, Endpoint, Message, Progress
 from rowanrack.net.http import Reply
 from rowanrack.store.journal import Journal
-from rowanspindle import Effect, Kind, Result, Scope, Settings, Status
+from rowanspindle import DestinationKind, Effect, EndpointStatus, Result, Settings, UpdateScope
 from rowanspindle.wire import WireError, parse_settings
 from tests.rig import SETTINGS, Rig, answers, on_loop
 
-SECOND, TICK = 1_000_000, 5000
+SECOND_US, TICK = 1_000_000, 5000
 SLACK_US = 300_000  # past a message's time, by which it has its end
 EFFECTS = ("retryable", "dedup", "fragile")
 
@@ -32,12 +32,12 @@
     grades = [
         {
             "name": f"c{n}",
-            "slo_us": (aim := rng.randint(1, 5) * SECOND),
+            "slo_us": (aim := rng.randint(1, 5) * SECOND_US),
             "deadline_us": aim * rng.randint(2, 6),
             "worth": rng.choice([1.0, 2.0]),
             "late_worth": rng.choice([0.0, 0.1, 0.5]),
             "effect": effect,
-            "key_ttl_us": rng.choice([1, 4]) * SECOND,
+            "key_ttl_us": rng.choice([1, 4]) * SECOND_US,
             "group": rng.choice(["all", "all", "zone"]),
             "one_at_a_time": effect == "dedup" and rng.random() < 0.3,
         }
@@ -61,9 +61,13 @@
             "cancel": rng.random() < 0.7,
             "second_copies": rng.random() < 0.5,
             "streams_per_conn": rng.choice([1, 8]),
-            "keepalive_us": rng.choice([5, 10]) * SECOND,
+            "keepalive_us": rng.choice([5, 10]) * SECOND_US,
+        },
+        "rules": {
+            "cold_share": 0.22,
+            "ramp_time_us": 12 * SECOND_US,
+            "key_rest_us": rng.choice([0, SECOND_US]),
         },
-        "rules": {"cold_share": 0.22, "ramp_time_us": 12 * SECOND, "key_rest_us": rng.choice([0, SECOND])},
         "tenants": rng.choice([[], tenants]),
         "report": rng.choice([{"how": "silent", "names": []}, {"how": "piggyback", "names": ["x0", "x1"]}]),
         "replicas_of_me": rng.choice([1, 3, 200]),
@@ -75,7 +79,7 @@
     """An exchange among peers that do anything they may, and the checks of what it does to them."""
 
     def __init__(self, folder: Path, rng: Random) -> None:
-        self.rng, self.now = rng, 1000 * SECOND
+        self.rng, self.now = rng, 1000 * SECOND_US
         self.settings: Settings = parse_settings(json.dumps(drawn(rng)))
         self.folder = folder
         self.due: list[tuple[int, int, Batch]] = []  # when a batch's connection is open, or its answer comes
@@ -89,7 +93,7 @@
         self.closed: set[str] = set()
         kinds = list(self.settings.kinds)
         self.instances = [
-            Instance(f"i{d}{n}", "h", 1, "xyz"[n % 3], kinds[d % len(kinds)], d, Status.LISTED, 20.0)
+            Endpoint(f"i{d}{n}", "h", 1, "xyz"[n % 3], kinds[d % len(kinds)], d, EndpointStatus.LISTED, 20.0)
             for d in range(3)
             for n in range(2)
         ]
@@ -106,7 +110,9 @@
         self.exchange = Exchange(self.settings, self.rng.randint(1, 1 << 30), self, self.journal, TICK)
         self.exchange.side = self
         self.exchange.listeners["platform"] = self.ended
-        self.exchange.list_instances(Scope.FULL, [i for i in self.instances if i.name not in self.closed])
+        self.exchange.list_instances(
+            UpdateScope.FULL, [i for i in self.instances if i.name not in self.closed]
+        )
         owed = list(self.journal.owed.values())
         if before is not None:
             self.exchange.pump()
@@ -114,7 +120,7 @@
         owed += self.journal.absorb() or []
         assert {m.id for m in owed} == self.journal.owed.keys() == self.taken.keys() - self.ends.keys()
         for message in owed:
-            assert message.legs >= len(self.begun.get(message.id, ()))
+            assert message.attempts_made >= len(self.begun.get(message.id, ()))
             self.exchange.adopt(message)
 
     def restart(self) -> None:
@@ -122,7 +128,7 @@
         for part in self.out.values():
             self.results.update((e, Result.RESET) for e in part)
         self.open, self.out, self.due, self.waits = set(), {}, [], {}
-        self.now += self.rng.choice([0, 100_000, 600_000, 5 * SECOND])
+        self.now += self.rng.choice([0, 100_000, 600_000, 5 * SECOND_US])
         if self.rng.random() < 0.5:
             self.settings = parse_settings(json.dumps(drawn(self.rng)))
         self.start_process()
@@ -141,7 +147,7 @@
     # The instances' side, with its checks.
 
     def start(self, batch: Batch) -> None:
-        most = self.settings.kinds.get(batch.instance.kind, Kind()).batch
+        most = self.settings.kinds.get(batch.endpoint.kind, DestinationKind()).batch
         assert 1 <= len(batch.attempts) <= most
         ids = [e.message.id for e in batch.attempts]
         assert len(set(ids)) == len(ids)
@@ -161,8 +167,12 @@
         self.out.pop(batch, None)
         self.due = [d for d in self.due if d[2] is not batch]
 
-    def limit(self, instance: Instance) -> str | int:
-        return instance.name if self.settings.kinds.get(instance.kind, Kind()).apart else instance.dest
+    def limit(self, instance: Endpoint) -> str | int:
+        return (
+            instance.name
+            if self.settings.kinds.get(instance.kind, DestinationKind()).apart
+            else instance.dest
+        )
 
     def may_have_run(self, attempt: Attempt) -> bool:
         out = any(attempt in part for part in self.out.values())
@@ -172,9 +182,9 @@
     def begin(self, attempt: Attempt) -> None:
         """The checks of a call's first byte."""
         message, cls = attempt.message, self.settings.classes[attempt.message.cls]
-        assert attempt.instance.dest == message.dest
-        assert attempt.instance.name not in self.closed
-        assert self.waits.get(self.limit(attempt.instance), 0) <= self.now
+        assert attempt.endpoint.dest == message.dest
+        assert attempt.endpoint.name not in self.closed
+        assert self.waits.get(self.limit(attempt.endpoint), 0) <= self.now
         assert message.id not in self.ends
         before = self.begun.setdefault(message.id, [])
         assert len(before) < self.settings.try_limit
@@ -196,7 +206,7 @@
             elif self.rng.random() < 0.1:
                 self.over(batch)
                 for e in batch.waiting():
-                    self.settle(e, Verdict(Result.CONNECT_FAILED))
+                    self.settle(e, CallVerdict(Result.CONNECT_FAILED))
             else:
                 part = [e for e in batch.waiting() if self.exchange.begin(e)]
                 for e in part:
@@ -218,12 +228,12 @@
         self.over(batch)
         for e in part:
             found = self.rng.choice(one) if each and len(part) > 1 else same
-            self.settle(e, Verdict(found, wait, None, 0.5, limit))
+            self.settle(e, CallVerdict(found, wait, None, 0.5, limit))
         if wait:
-            key = self.limit(batch.instance)
+            key = self.limit(batch.endpoint)
             self.waits[key] = max(self.waits.get(key, 0), self.now + wait)
 
-    def settle(self, attempt: Attempt, verdict: Verdict) -> None:
+    def settle(self, attempt: Attempt, verdict: CallVerdict) -> None:
         self.results.setdefault(attempt, verdict.result)
         self.exchange.settle(attempt, verdict)
 
@@ -255,10 +265,10 @@
     def drain(self) -> None:
         chosen = self.rng.choice(self.instances)
         back = chosen.name in self.closed
-        status = Status.LISTED if back else Status.DRAINING
+        status = EndpointStatus.LISTED if back else EndpointStatus.DRAINING
         (self.closed.discard if back else self.closed.add)(chosen.name)
-        news = Instance(chosen.name, "h", 1, chosen.zone, chosen.kind, chosen.dest, status, 20.0)
-        self.exchange.list_instances(Scope.DELTA, [news])
+        news = Endpoint(chosen.name, "h", 1, chosen.zone, chosen.kind, chosen.dest, status, 20.0)
+        self.exchange.list_instances(UpdateScope.DELTA, [news])
 
 
 def kill(journal: Journal) -> None:
@@ -286,7 +296,7 @@
         world, rng, number = World(Path(folder), Random(seed)), Random(seed + 1), 0
         while world.taken.keys() - world.ends.keys() or number < 120:
             world.now += TICK
-            assert world.now < 1400 * SECOND, "some have no end"
+            assert world.now < 1400 * SECOND_US, "some have no end"
             if number < 120 and rng.random() < 0.15:
                 for _ in range(rng.choice([1, 1, 1, 12])):
                     number += 1
@@ -357,7 +367,7 @@
     """The shortest list cut all of them off, and with it what the others told."""
     extra = {"batch_by_kind": [1, 20], "kind_apart": [True]}
     found = parse_settings(json.dumps(SETTINGS | {"kinds": ["a", "b", "c"], "extra": extra})).kinds
-    assert found == {"a": Kind(1, True), "b": Kind(20, False), "c": Kind()}
+    assert found == {"a": DestinationKind(1, True), "b": DestinationKind(20, False), "c": DestinationKind()}
 
 
 @pytest.mark.parametrize("figure", ["1e999", "NaN", '"x"', "[]", "0.5"])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -9,14 +9,22 @@
 
 from rowanrack.model.scenario import FOLDER, load
 from rowanrack.model.world import World
-from rowanspindle import Heard, Members, Outage, Recalled, Result, Scope, Status
-from rowanspindle.hearsay import LISTEN
-from rowanspindle.notes import Fact, Note, What, digest
-from tests.helpers import SECOND, Caller, member
+from rowanspindle import (
+    EndpointListUpdate,
+    EndpointStatus,
+    NoteReceived,
+    Outage,
+    OutagesRestored,
+    Result,
+    UpdateScope,
+)
+from rowanspindle.gossip import LISTEN
+from rowanspindle.notes import Fact, FactKind, Note, endpoint_digest
+from tests.helpers import SECOND_US, Caller, member
 
 SENDERS = 40
-FALL = 2 * SECOND  # of the settings
-LONG = 60 * SECOND
+FALL = 2 * SECOND_US  # of the settings
+LONG = 60 * SECOND_US
 
 
 def sender(**changes: object) -> Caller:
@@ -57,7 +65,7 @@
     """All that a shut destination had told when it opens came at that moment."""
     caller = sender()
     caller.end(caller.accept(left_us=LONG), Result.FULL, wait_us=wait_us)
-    caller.wait(FALL + SECOND)
+    caller.wait(FALL + SECOND_US)
     assert all((e.ramp_from is not None) is cold for e in caller.forwarder.endpoints.values())
 
 
@@ -67,43 +75,43 @@
     caller.end(caller.accept(left_us=LONG), Result.CONNECT_FAILED)
     first, sibling = sorted(caller.forwarder.endpoints.values(), key=lambda e: e.out_since is None)
     first.proved = proved
-    caller.step(Heard(3, Note(1, (Fact(What.BACK, digest(first.target)),))))
-    caller.wait(SECOND // 10)
-    caller.step(Heard(3, Note(2, (Fact(What.BACK, digest(first.target)),))))
+    caller.step(NoteReceived(3, Note(1, (Fact(FactKind.BACK, endpoint_digest(first.target)),))))
+    caller.wait(SECOND_US // 10)
+    caller.step(NoteReceived(3, Note(2, (Fact(FactKind.BACK, endpoint_digest(first.target)),))))
     for endpoint in (first, sibling):
         assert endpoint.out_since is None and not endpoint.doubted
         assert (endpoint.ramp_from is not None) is proved
 
 
-@pytest.mark.parametrize("back", [None, 999 * SECOND])
+@pytest.mark.parametrize("back", [None, 999 * SECOND_US])
 def test_what_the_process_before_knew_holds_also_for_what_is_listed_later(back: int | None) -> None:
     caller = sender()
-    outages = tuple(Outage(target, 990 * SECOND, back) for target in ("a", "late"))
-    caller.step(Recalled(outages))
-    caller.step(Members(Scope.DELTA, (member("late", weight=8.0),)))
+    outages = tuple(Outage(target, 990 * SECOND_US, back) for target in ("a", "late"))
+    caller.step(OutagesRestored(outages))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("late", weight=8.0),)))
     for target in ("a", "late"):
         endpoint = caller.forwarder.endpoints[target]
         assert endpoint.doubted if back is None else endpoint.ramp_from == back
     assert set(caller.forwarder.outages(caller.now)) == set(outages)
 
 
-@pytest.mark.parametrize(("away_us", "known"), [(20 * SECOND, True), (40 * SECOND, False)])
+@pytest.mark.parametrize(("away_us", "known"), [(20 * SECOND_US, True), (40 * SECOND_US, False)])
 def test_an_outage_is_known_for_a_while_after_its_endpoint_left_the_list(away_us: int, known: bool) -> None:
     caller = Caller(member("a", weight=8.0), replicas=SENDERS)
     caller.end(caller.accept(), Result.CONNECT_FAILED)
-    caller.step(Members(Scope.DELTA, (member("a", status=Status.REMOVED),)))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("a", status=EndpointStatus.REMOVED),)))
     caller.wait(away_us)
-    caller.step(Members(Scope.DELTA, (member("a", weight=8.0),)))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("a", weight=8.0),)))
     assert caller.forwarder.endpoints["a"].recovers(caller.now) is known
 
 
 def test_who_has_just_begun_to_listen_takes_an_even_part() -> None:
     caller = sender()
     caller.end(caller.accept(left_us=LONG), Result.CONNECT_FAILED)
-    hearsay, work = caller.forwarder.hearsay, (Fact(What.WORK, 2, 1),)
+    hearsay, work = caller.forwarder.gossip, (Fact(FactKind.WORK, 2, 1),)
     for number in range(LISTEN):
         assert not hearsay.informed(caller.now)
-        caller.step(Heard(3, Note(number, work)))
+        caller.step(NoteReceived(3, Note(number, work)))
         caller.wait(hearsay.beat_us)
     assert hearsay.informed(caller.now)
 
@@ -128,12 +136,12 @@
         caller.end(ref, Result.CONNECT_FAILED)
         begun = caller.now
         for _ in range(150):
-            caller.wait(SECOND // 10)
+            caller.wait(SECOND_US // 10)
             if caller.is_out(ref):
                 times.append(caller.now - begun)
                 caller.end(ref, Result.CONNECT_FAILED)
     settings = caller.forwarder.settings
-    bears = settings.overload_factor * settings.cold_share * 4.0 * FALL / SECOND
+    bears = settings.overload_factor * settings.cold_share * 4.0 * FALL / SECOND_US
     most = max(sum(at <= other < at + FALL for other in times) for at in times)
     assert most <= bears + 3 * math.sqrt(bears) + 3
     assert times  # one of them finds the return
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -8,9 +8,9 @@
 import pytest
 
 from benchmarks.spread import Plan, herds, measure, parts
-from rowanspindle import Accept, Forwarder, Members, Outcome, Result, Scope, Send
-from rowanspindle.order import Usual
-from tests.helpers import BASE, SECOND, Caller, member
+from rowanspindle import Accept, EndpointListUpdate, Forwarder, Outcome, Result, Send, UpdateScope
+from rowanspindle.data_structures import RunningMean
+from tests.helpers import BASE, SECOND_US, Caller, member
 
 FLEET = Plan(senders=60, endpoints=6, phase=15.0, warm=5.0, seed=1)
 
@@ -38,12 +38,12 @@
     first = 0
     for number in range(200):
         forwarder = Forwarder(replace(BASE, replicas=200, streams_per_conn=streams), number)
-        forwarder.decide(0, [Members(Scope.FULL, tuple(listed))])
-        sent = forwarder.decide(SECOND, [Accept(1, "safe", 1, 20 * SECOND)])
+        forwarder.decide(0, [EndpointListUpdate(UpdateScope.FULL, tuple(listed))])
+        sent = forwarder.decide(SECOND_US, [Accept(1, "safe", 1, 20 * SECOND_US)])
         (target,) = (a.target for a in sent if isinstance(a, Send))
-        forwarder.decide(2 * SECOND, [Members(Scope.FULL, (*listed, member("new")))])
-        forwarder.decide(2 * SECOND, [Outcome(1, 0, target, Result.OK, SECOND, True)])
-        actions = forwarder.decide(3 * SECOND, [Accept(2, "safe", 1, 20 * SECOND)])
+        forwarder.decide(2 * SECOND_US, [EndpointListUpdate(UpdateScope.FULL, (*listed, member("new")))])
+        forwarder.decide(2 * SECOND_US, [Outcome(1, 0, target, Result.OK, SECOND_US, True)])
+        actions = forwarder.decide(3 * SECOND_US, [Accept(2, "safe", 1, 20 * SECOND_US)])
         first += any(isinstance(a, Send) and a.target == "new" for a in actions)
     assert least <= first <= most
 
@@ -57,7 +57,7 @@
     caller = Caller(*(member(f"t{n}") for n in range(8)), streams_per_conn=8, replicas=senders)
     for _ in range(40):
         caller.end(caller.accept(), latency_us=50_000)
-        caller.wait(int(gap * SECOND))
+        caller.wait(int(gap * SECOND_US))
     assert least <= len({send.target for _, send in caller.sends()[20:]}) <= most
 
 
@@ -73,7 +73,7 @@
     for count in (20, 60):
         means, errors = [], []
         for _ in range(400):
-            usual = Usual(0.15)
+            usual = RunningMean(0.15)
             for _ in range(count):
                 usual.add(dice.gauss(100.0, 20.0))
             means.append(usual.mean)
@@ -83,6 +83,6 @@
 
 
 def test_what_is_counted() -> None:
-    calls = [(0, "a"), (50_000, "a"), (900_000, "a"), (3 * SECOND, "b")]
+    calls = [(0, "a"), (50_000, "a"), (900_000, "a"), (3 * SECOND_US, "b")]
     assert parts(calls, ["a", "b"]) == (1.5, 0.5)
-    assert herds(calls, ["a", "b"], 0, 4 * SECOND) == {"in_100ms": 2, "in_1s": 3, "idle_s": 3.1}
+    assert herds(calls, ["a", "b"], 0, 4 * SECOND_US) == {"in_100ms": 2, "in_1s": 3, "idle_s": 3.1}
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from rowanspindle import Forwarder, Members, Scope, Status
-from rowanspindle.zones import parts
-from tests.helpers import BASE, SECOND, Caller, member
+from rowanspindle import EndpointListUpdate, EndpointStatus, Forwarder, UpdateScope
+from rowanspindle.zones import call_shares
+from tests.helpers import BASE, SECOND_US, Caller, member
 
 PRICED = {"zone": "a", "zones": 2, "crossing_price": 0.084, "replicas": 200}
 
@@ -25,7 +25,7 @@
     senders = "abc"[: max(count, len(set(zones)))]
     load, crossed = defaultdict[str, float](float), 0.0
     for own in senders:
-        for zone, part in parts(zones, own, count).items():
+        for zone, part in call_shares(zones, own, count).items():
             load[zone] += part / len(senders)
             crossed += part * zones.count(zone) / len(zones) / len(senders) * (zone != own)
     assert all(load[zone] == pytest.approx(1.0) for zone in zones), load
@@ -37,7 +37,7 @@
     before = len(caller.sends())
     for _ in range(calls):
         caller.end(caller.accept(), latency_us=50_000)
-        caller.wait(SECOND)
+        caller.wait(SECOND_US)
     return Counter(send.target[0] for _, send in caller.sends()[before:])
 
 
@@ -65,7 +65,9 @@
     assert [send.target for _, send in caller.sends()] == ["a1", "a1", "a1", "b1"]
     for ref in range(1, 5):
         caller.end(ref)
-    caller.step(Members(Scope.DELTA, (member("a1", zone="a", status=Status.DRAINING),)))
+    caller.step(
+        EndpointListUpdate(UpdateScope.DELTA, (member("a1", zone="a", status=EndpointStatus.DRAINING),))
+    )
     assert called(caller, 3) == {"b": 3}
 
 
@@ -73,10 +75,10 @@
     forwarder = Forwarder(replace(BASE, **PRICED), 1)  # type: ignore[arg-type]
     for now, listed, share in [(0, "b1", 1.0), (1, "a1 b1", 0.0), (2, "a1 b1 b2", 0.5), (3, "b1 b2", 1.0)]:
         members = tuple(member(name, zone=name[0]) for name in listed.split())
-        forwarder.decide(now, [Members(Scope.FULL, members)])
+        forwarder.decide(now, [EndpointListUpdate(UpdateScope.FULL, members)])
         assert forwarder.endpoints["b1"].share == pytest.approx(share), listed
-    gone = member("b2", zone="b", status=Status.DRAINING)
-    forwarder.decide(4, [Members(Scope.DELTA, (gone, member("a1", zone="a")))])
+    gone = member("b2", zone="b", status=EndpointStatus.DRAINING)
+    forwarder.decide(4, [EndpointListUpdate(UpdateScope.DELTA, (gone, member("a1", zone="a")))])
     assert forwarder.endpoints["b1"].share == 0.0
 
 
@@ -84,5 +86,5 @@
     """Its shares were dealt out anew, and that brought it back, empty, for good."""
     forwarder = Forwarder(replace(BASE, **PRICED), 1)  # type: ignore[arg-type]
     for dest in (1, 2):
-        forwarder.decide(dest, [Members(Scope.FULL, (member("b1", dest=dest, zone="b"),))])
+        forwarder.decide(dest, [EndpointListUpdate(UpdateScope.FULL, (member("b1", dest=dest, zone="b"),))])
     assert list(forwarder.destinations) == [2]
