--- a/rowanspindle/api.py
+++ b/rowanspindle/api.py
@@ -1,7 +1,7 @@
 """The interface of the decision module: its settings, events and actions.
 
-All times are whole microseconds on the clock of the caller. Nothing in this
-file decides anything; an impossible setting raises a ValueError that names it.
+All times are whole microseconds on the caller's clock. This module makes no decisions. An invalid setting
+raises a ValueError that names the setting.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a message would do at its destination."""
+    """The effect of delivering a message to its destination more than once."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -36,7 +36,7 @@
 
 
 class UpdateScope(Enum):
-    """What a news item about the list of endpoints holds."""
+    """What an update of the endpoint list contains."""
 
     DELTA = "delta"
     FULL = "full"
@@ -44,7 +44,7 @@
 
 
 class EndpointStatus(Enum):
-    """What the list says of an endpoint; nothing about its health."""
+    """The status of an endpoint in the endpoint list. It says nothing about the endpoint's health."""
 
     LISTED = "listed"
     DRAINING = "draining"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """A class of messages: its aim, its worth and what a repeat would do."""
+    """A class of messages: its target delivery time, its value and the effect of a repeated delivery."""
 
     name: str
     aim_us: int
@@ -75,7 +75,10 @@
             raise ValueError(f"key_ttl_us of class {self.name}: must not be negative")
 
     def worth_at(self, late_us: int, halves: bool) -> float:
-        """What a message is worth if delivered so long after its aim, as the settings define it."""
+        """Return the value of a message that is delivered `late_us` after its target time.
+
+        The value is exponential in the lateness if `halves` is set and linear otherwise.
+        """
         if late_us <= 0:
             return self.worth
         if halves:
@@ -85,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """A kind of destination: messages in one call, and whether its endpoints are routes apart."""
+    """A kind of destination: the batch size of a call, and whether its endpoints have limits of their own."""
 
     batch: int = 1
     apart: bool = False
@@ -93,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a forwarder is told at its start."""
+    """The settings that a forwarder gets when it starts."""
 
     classes: dict[str, MessageClass]
     slots: int
@@ -107,13 +110,13 @@
     on_request: bool = False
     halves: bool = False
     weights_told: bool = True
-    weights_exact: bool = False  # the list's rates are the limits themselves, not rough ones
-    refused_price: float = 0.0  # points for calls refused above a limit, by first try
-    peers: bool = False  # whether forwarders may tell each other something,
-    peer_price: float = 0.0  # and points for 256 bytes told to one, by first try
-    zone: str = ""  # where this forwarder stands: "" if that is not told,
-    zones: int = 1  # among so many
-    crossing_price: float = 0.0  # and points for a call to another one, by first try
+    weights_exact: bool = False  # the rates in the endpoint list are exact limits, not estimates
+    refused_price: float = 0.0  # points for a call refused above a limit
+    peers: bool = False  # whether forwarders may send notes to each other
+    peer_price: float = 0.0  # points for sending 256 bytes to one forwarder
+    zone: str = ""  # the zone of this forwarder; "" if it is unknown
+    zones: int = 1  # number of zones
+    crossing_price: float = 0.0  # points for a call to another zone
     over_share_worth: float = 1.0
     max_come_back_us: int = 2_000_000
     keepalive_us: int = 5_000_000
@@ -126,8 +129,10 @@
     fall_us: int = 2_000_000
     overload_factor: float = 2.0
     key_rest_us: int = 0
-    zone_fees: dict[str, float] = dataclasses.field(default_factory=dict)  # points a message, on routes apart
-    reports: tuple[str, ...] = ()  # the fields that a load report in an answer may hold
+    zone_fees: dict[str, float] = dataclasses.field(
+        default_factory=dict
+    )  # points per message at destinations with `apart`, by zone
+    reports: tuple[str, ...] = ()  # the fields that a load report in an answer may contain
 
     def __post_init__(self) -> None:
         for field in (
@@ -156,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """A message to be delivered: new, or owed since before a restart, when earlier attempts count."""
+    """A message to deliver. It is new, or it was accepted before a restart; then earlier attempts count."""
 
     ref: int
     cls: str
@@ -164,15 +169,15 @@
     left_us: int
     tenant: str | None = None
     key: str | None = None
-    attempts_made: int = 0  # attempts already used; the next one has this number
-    may_have_run: bool = False  # whether one of them may have run,
-    first_attempt_age_us: int = 0  # and how long ago the first of these was sent
-    waited_us: int = 0  # for how long it has been owed, by the process before this one
+    attempts_made: int = 0  # attempts already made; the next attempt has this number
+    may_have_run: bool = False  # whether one of these attempts may have run
+    first_attempt_age_us: int = 0  # time since the first attempt that may have run was sent
+    waited_us: int = 0  # time for which the previous process held the message
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """An attempt has ended; `message_ended` says that the message has ended with it, or before."""
+    """The end of an attempt. `message_ended`: the message has ended with this attempt or before it."""
 
     ref: int
     attempt_number: int
@@ -187,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One endpoint as listed; the weight, if told, is its destination's rough rate in calls a second."""
+    """One entry of the endpoint list. The weight, if known, estimates the destination's rate in calls/s."""
 
     target: str
     zone: str
@@ -199,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """News of the list of endpoints."""
+    """An update of the endpoint list."""
 
     scope: UpdateScope
     entries: tuple[EndpointEntry, ...] = ()
@@ -207,21 +212,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The client has taken its message back; nothing more is owed for it."""
+    """The client has withdrawn its message, which needs no final answer any more."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the forwarder armed is due."""
+    """A timer that the forwarder armed has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class NoteReceived:
-    """A note from another forwarder, by its number; it may come late, twice, or not at all."""
+    """A note from another forwarder. Notes may be delayed, duplicated or lost."""
 
     peer: int
     note: Note
@@ -229,16 +234,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """What is known of an endpoint that is out or cold; a time may be one of an earlier process."""
+    """What is known of an endpoint in an outage or in slow start. Times may come from an earlier process."""
 
     target: str
-    began_at: int  # when the outage began,
-    back_at: int | None  # and ended, or will; None: that is not known
+    began_at: int  # when the outage began
+    back_at: int | None  # when the outage ended or will end; None if unknown
 
 
 @dataclass(frozen=True, slots=True)
 class OutagesRestored:
-    """What the process before this one knew of outages."""
+    """The outages that the previous process knew of."""
 
     outages: tuple[Outage, ...]
 
@@ -248,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt. Attempts of a message are numbered from 0 in the order of their sends."""
+    """Start an attempt. The attempts of a message are numbered from 0 in sending order."""
 
     ref: int
     target: str
@@ -257,7 +262,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: undelivered, and the client may safely come again after this time."""
+    """Final answer: the message was not delivered, and the client may safely retry after `come_back_us`."""
 
     ref: int
     come_back_us: int
@@ -265,14 +270,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up, with no promise about its effect."""
+    """Final answer: delivery was given up; the message may or may not have taken effect."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Stop waiting for the answer to one attempt."""
 
     ref: int
     attempt_number: int
@@ -287,7 +292,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ArmTimer:
-    """Ask for a TimerFired event after this time."""
+    """Ask for a TimerFired event after `after_us`."""
 
     after_us: int
     token: int
@@ -295,19 +300,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpointList:
-    """Ask the keeper of the list for changes from now on."""
+    """Subscribe to changes of the endpoint list at the discovery service."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the operators."""
+    """A line for the operators' log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class BroadcastNote:
-    """A note to every other forwarder."""
+    """Send a note to every other forwarder."""
 
     note: Note
 
--- a/rowanspindle/connection_reuse.py
+++ b/rowanspindle/connection_reuse.py
@@ -1,8 +1,9 @@
-"""How long an idle connection is trusted to live, by kind of destination. No I/O, no choice of servers.
+"""The idle time up to which a connection is reused, by kind of destination.
 
-A connection dropped unseen while idle looks like a failing endpoint. The time for which one is trusted falls
-with each such failure and grows with answers. Nor is it worth keeping where endpoints run short of
-connections: idle ones of many senders fill the table, and whoever comes with a new one is turned away.
+A connection silently dropped while idle looks like a failing endpoint. The idle limit falls with each such
+failure and grows with answers. Idle connections are not kept either where endpoints run short of
+connections: those of many senders fill the connection table, and new connections are refused. This module
+does no I/O and selects no endpoints.
 """
 
 from __future__ import annotations
@@ -13,81 +14,96 @@
 from rowanspindle.gossip import MAX_SENDERS_ALL_TELL
 
 SECOND_US = 1_000_000
-REUSE_LEAST = 3.0  # calls expected while an idle connection is trusted: below, it is closed after its answer
-GROW = 1.005  # factor of each answer on the time
-FALL = 0.7  # and of each connection that was dropped unseen, on the time for which it was idle
-LEAST_US = 500_000  # idle time below which a failure is the endpoint's, not the connection's
-SHORT_SENDERS = 8  # that keep a connection each fill a table; fewer hardly do
-SHORT_US = 60_000_000  # for which connections are taken to be short once a refusal showed it
-HEARD_SHORT_US = 10_000_000  # and once another sender told so
-SHORT_TIMES = 2.0  # new connections are refused so many times more often than kept ones: no limit does that
-BEFORE = 2.0, 0.5  # calls on kept connections, and refusals of them, taken for granted until there are others
-FADE = 0.97  # factor of each call on the weight of those before it
+# A connection is closed after its answer if fewer calls than this are expected within its idle limit.
+MIN_EXPECTED_CALLS_COUNT = 3.0
+IDLE_LIMIT_GROWTH_FACTOR = 1.005  # applied to the idle limit on each answer
+IDLE_LIMIT_CUT_FACTOR = 0.7  # applied to the idle time of a connection that was silently dropped
+LEAST_US = 500_000  # after a shorter idle time, a failure is attributed to the endpoint, not the connection
+SHORTAGE_SENDERS_COUNT = 8  # fewer senders with one connection each rarely fill a connection table
+OWN_SHORTAGE_US = 60_000_000  # duration of a shortage of connections that a refusal of an own call showed
+REPORTED_SHORTAGE_US = 10_000_000  # duration of a shortage that another sender reported
+# Calls on new connections are refused this much more often than those on reused ones only in a shortage of
+# connections: a rate limit refuses both alike.
+SHORTAGE_REFUSAL_FACTOR = 2.0
+INITIAL_REUSED_COUNTS = 2.0, 0.5  # calls on reused connections, and their refusals, assumed at the start
+DECAY_FACTOR = 0.97  # weight kept by earlier calls, per new call
 
 
 class RefusalRate:
-    """How often calls are refused, the last few dozen in the main."""
+    """The refusal rate of calls, dominated by the last few dozen."""
 
     def __init__(self, calls: float = 0.0, refused: float = 0.0) -> None:
         self.calls, self.refused = calls, refused
 
     def add(self, refused: bool) -> None:
-        """One call more."""
-        self.calls = self.calls * FADE + 1
-        self.refused = self.refused * FADE + refused
+        """Count one call."""
+        self.calls = self.calls * DECAY_FACTOR + 1
+        self.refused = self.refused * DECAY_FACTOR + refused
 
-    def share(self) -> float:
-        """Refusals a call."""
+    def per_call(self) -> float:
+        """Return the refusals per call."""
         return self.refused / max(self.calls, 1.0)
 
 
 class ConnectionReuse:
-    """The trusted idle time of each kind, in microseconds."""
+    """The idle limit of connections, by kind of destination."""
 
     def __init__(self, settings: Settings) -> None:
-        self._most, self._one_call = settings.keepalive_us, settings.streams_per_conn == 1
-        self._many = settings.replicas >= SHORT_SENDERS
-        self._fleet = settings.replicas > MAX_SENDERS_ALL_TELL  # one each fills any table
-        self.idle_limit_us: defaultdict[str, float] = defaultdict(lambda: float(self._most))
-        self._new: defaultdict[str, RefusalRate] = defaultdict(RefusalRate)
-        self._kept: defaultdict[str, RefusalRate] = defaultdict(lambda: RefusalRate(*BEFORE))
-        self._short: dict[str, int] = {}  # kinds whose endpoints run short of connections, and until when
+        self._max_idle_us, self._single_stream = settings.keepalive_us, settings.streams_per_conn == 1
+        self._may_fill_tables = settings.replicas >= SHORTAGE_SENDERS_COUNT
+        # In a large fleet, one connection per sender fills any connection table.
+        self._large_fleet = settings.replicas > MAX_SENDERS_ALL_TELL
+        self.idle_limit_us: defaultdict[str, float] = defaultdict(lambda: float(self._max_idle_us))
+        self._new_rates: defaultdict[str, RefusalRate] = defaultdict(RefusalRate)
+        self._reused_rates: defaultdict[str, RefusalRate] = defaultdict(
+            lambda: RefusalRate(*INITIAL_REUSED_COUNTS)
+        )
+        self._short_until: dict[str, int] = {}  # kinds with a shortage of connections, and until when
 
     def record_answer(self, kind: str, new: bool = False) -> None:
-        """A connection lived, a new one or one that was kept."""
-        self.idle_limit_us[kind] = min(self._most, self.idle_limit_us[kind] * GROW)
-        (self._new if new else self._kept)[kind].add(False)
+        """Record an answer on a new or a reused connection."""
+        self.idle_limit_us[kind] = min(self._max_idle_us, self.idle_limit_us[kind] * IDLE_LIMIT_GROWTH_FACTOR)
+        (self._new_rates if new else self._reused_rates)[kind].add(False)
 
     def record_refusal(self, kind: str, new: bool, now: int) -> bool:
-        """A call was turned away with no wait told: whether for want of connections, not for a limit.
+        """Record a refusal without a retry-after wait; return whether it shows a shortage of connections.
 
-        A limit refuses calls on kept connections as often as those on new ones; a full table only the latter.
+        A rate limit refuses calls on reused connections as often as those on new ones. A full connection
+        table refuses only the latter.
         """
-        (self._new if new else self._kept)[kind].add(True)
-        short = self._many and new and self._new[kind].share() > SHORT_TIMES * self._kept[kind].share()
+        (self._new_rates if new else self._reused_rates)[kind].add(True)
+        short = (
+            self._may_fill_tables
+            and new
+            and self._new_rates[kind].per_call()
+            > SHORTAGE_REFUSAL_FACTOR * self._reused_rates[kind].per_call()
+        )
         if short:
-            self._short[kind] = now + SHORT_US
+            self._short_until[kind] = now + OWN_SHORTAGE_US
         return short
 
     def record_shortage(self, kind: str, now: int) -> None:
-        """Another sender found connections to be short there: believed for a while."""
-        self._short[kind] = max(self._short.get(kind, 0), now + HEARD_SHORT_US)
+        """Record that another sender reported a shortage of connections."""
+        self._short_until[kind] = max(self._short_until.get(kind, 0), now + REPORTED_SHORTAGE_US)
 
     def record_drop(self, kind: str, idle_us: float | None = None) -> None:
-        """A connection was dropped after so long, or one more could not be had."""
-        known = self.idle_limit_us[kind] if idle_us is None else min(self.idle_limit_us[kind], idle_us)
-        self.idle_limit_us[kind] = max(LEAST_US, known * FALL)
-
-    def is_rarely_reused(self, kind: str, calls_a_second: float, now: int) -> bool:
-        """Whether an idle connection there will hardly be used again while it lives.
-
-        Answers endpoints that take few connections, and connections dropped unseen. Where one carries one
-        call at a time tables fill from the start; elsewhere failures at endpoints of the kind must show it.
-        Who keeps one is never refused for want of one, and learns only by notes that others are: among many
-        senders none is kept. It costs handshakes, for nothing where there is room, and after a crash until
-        answers regain the trust.
+        """Record a connection dropped after `idle_us`, or, without it, a failure to open a new one."""
+        idle_limit_us = (
+            self.idle_limit_us[kind] if idle_us is None else min(self.idle_limit_us[kind], idle_us)
+        )
+        self.idle_limit_us[kind] = max(LEAST_US, idle_limit_us * IDLE_LIMIT_CUT_FACTOR)
+
+    def is_rarely_reused(self, kind: str, calls_per_s: float, now: int) -> bool:
+        """Return whether an idle connection to this kind is unlikely to be reused within its idle limit.
+
+        This addresses endpoints that accept few connections, and silently dropped connections. With
+        one call per connection, connection tables fill from the start; otherwise failures at endpoints of
+        the kind must have shown the need. A sender that keeps a connection is never refused for lack of one
+        and learns only from notes that others are; so in a large fleet no sender keeps one. The price is
+        additional handshakes, which are wasted where tables have room, and after a crash until answers have
+        raised the idle limit again.
         """
-        short = self._fleet or now < self._short.get(kind, 0)
-        doubted = self._fleet or self.idle_limit_us[kind] < self._most or self._one_call
-        trusted = LEAST_US if short else self.idle_limit_us[kind]
-        return doubted and calls_a_second * trusted < REUSE_LEAST * SECOND_US
+        short = self._large_fleet or now < self._short_until.get(kind, 0)
+        in_doubt = self._large_fleet or self.idle_limit_us[kind] < self._max_idle_us or self._single_stream
+        usable_us = LEAST_US if short else self.idle_limit_us[kind]
+        return in_doubt and calls_per_s * usable_us < MIN_EXPECTED_CALLS_COUNT * SECOND_US
--- a/rowanspindle/held_messages.py
+++ b/rowanspindle/held_messages.py
@@ -1,7 +1,8 @@
-"""What is held, in order: messages, sorted so that the few that may matter are found without a walk.
+"""The held messages, sorted so that the few candidates of a decision are found without a scan.
 
-Nothing here decides. Of messages that are alike in class, share and route only the deadline differs, so worth
-and urgency are functions of it, and what a decision looks for stands at the ends or beside a known deadline.
+This module makes no decisions. Messages with the same class, share and zone differ only in the deadline, so
+their value and urgency are functions of it. The message that a decision looks for is at one of the ends of
+the group or next to a known deadline.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 from rowanspindle.api import Accept, MessageClass
 from rowanspindle.data_structures import RateEstimator, TimeSortedList
 
-E = TypeVar("E")
-G = TypeVar("G")
+EndpointT = TypeVar("EndpointT")
+LimitT = TypeVar("LimitT")
 
-RATE_MEMORY_S = 30.0  # seconds in which a measured rate forgets: longer than an outage, shorter than a day
-INITIAL_RATE_WEIGHT = 0.5  # events that a guessed rate counts for, until there are measured ones
-NEVER = 1 << 62  # microseconds; no clock gets there
+RATE_MEMORY_S = 30.0  # time constant of measured rates: longer than an outage, shorter than a day
+INITIAL_RATE_WEIGHT = 0.5  # weight of the initial rate, in events, until events have been measured
+NEVER = 1 << 62  # microseconds; a time that no clock reaches
 
-# The class, the share of the worth, the only zone that it may go to ("": any), and whether it is its turn.
+# The class, the factor on the value, the only zone allowed ("": any), and whether it is the message's turn.
 MessageGroup = tuple[MessageClass, float, str, bool]
 
 
 class Message:
-    """A message that is held or out, with what is known of its attempts."""
+    """A message that is held or has attempts in flight, and what is known of its attempts."""
 
     def __init__(self, event: Accept, cls: MessageClass, now: int, share: float) -> None:
         self.ref, self.cls, self.dest = event.ref, cls, event.dest
@@ -35,45 +36,51 @@
         self.aim_at = self.deadline - cls.deadline_us + cls.aim_us
         self.share, self.attempts_made, self.first_attempt_zone = share, event.attempts_made, ""
         self.accepted_at = now - event.waited_us
-        self.attempts_out: set[int] = set()  # the numbers of its attempts that are out
+        self.attempts_out: set[int] = set()  # the numbers of its attempts in flight
         self.first_attempt_at: int | None = now - event.first_attempt_age_us if event.may_have_run else None
-        self.group: MessageGroup | None = None  # among which it is held, if it is
+        self.group: MessageGroup | None = None  # the group in which it is held; None if it is not held
 
     def value(self, at: int, halves: bool) -> float:
-        """The worth of this message if it were delivered at that time."""
+        """Return the value of this message if it were delivered at that time."""
         return 0.0 if at > self.deadline else self.share * self.cls.worth_at(at - self.aim_at, halves)
 
-    def group_for(self, turn: bool) -> MessageGroup:
-        """What it has in common with others: their worth and urgency differ by the deadline alone."""
+    def group_for(self, in_turn: bool) -> MessageGroup:
+        """Return its group. Value and urgency of the messages of a group differ by the deadline alone."""
         zone = self.first_attempt_zone if self.cls.same_zone and self.first_attempt_at is not None else ""
-        return self.cls, self.share, zone, turn
+        return self.cls, self.share, zone, in_turn
 
 
-def urgency_breakpoints(cls: MessageClass, answer: int, drain_us: int, halves: bool) -> tuple[int, ...]:
-    """The deadlines at which the urgency of a class turns, given when an answer comes and the hold drains.
+def urgency_breakpoints(cls: MessageClass, answer_at: int, drain_us: int, halves: bool) -> tuple[int, ...]:
+    """Return the deadlines at which the urgency of a class changes its trend.
 
-    That is where the worth, now or once the hold has drained, starts to fall, has fallen as far as it will,
-    or is gone, and where age comes to outweigh the fall.
+    `answer_at` is when an answer is expected, `drain_us` how long the held messages take to drain. The trend
+    changes where the value, now or after draining, starts to fall, has reached its minimum or is gone, and
+    where the message's age begins to outweigh the fall.
     """
-    fall = cls.deadline_us - cls.aim_us
+    decay_us = cls.deadline_us - cls.aim_us
     if halves:
-        rest = max(0, fall - int(cls.aim_us * -math.log2(max(cls.late_worth, 1e-9))))
-        inner: tuple[int, ...] = (rest, rest + drain_us)
+        decay_end_us = max(0, decay_us - int(cls.aim_us * -math.log2(max(cls.late_worth, 1e-9))))
+        inner_offsets: tuple[int, ...] = (decay_end_us, decay_end_us + drain_us)
     else:
-        top = fall / max(2 * (1 - cls.late_worth), 1e-9) - (cls.deadline_us + cls.aim_us) / 2
-        inner = (fall - int(min(max(0, top), fall)),)
-    return tuple(answer + at for at in (0, drain_us, fall, fall + drain_us, *inner))
+        age_dominates_us = decay_us / max(2 * (1 - cls.late_worth), 1e-9) - (cls.deadline_us + cls.aim_us) / 2
+        inner_offsets = (decay_us - int(min(max(0, age_dominates_us), decay_us)),)
+    return tuple(
+        answer_at + offset for offset in (0, drain_us, decay_us, decay_us + drain_us, *inner_offsets)
+    )
 
 
 class KeyQueue:
-    """The messages of one key, in the order taken; only the first may go."""
+    """The messages of one key, in the order of acceptance; only the first may be sent."""
 
     def __init__(self) -> None:
         self.waiting: deque[Message] = deque()
         self.attempts_out = self.rest_until = 0
 
     def in_turn(self, message: Message, now: int) -> bool:
-        """Whether it is a message's turn: the first, with none out, and rested unless it has been tried."""
+        """Return whether a message may be sent: it is the first of its key and no attempt is in flight.
+
+        The rest time of the key must have passed too, unless the message has been attempted before.
+        """
         return (
             self.waiting[0] is message
             and self.attempts_out == 0
@@ -82,66 +89,66 @@
 
 
 class HeldMessages:
-    """The messages held for one destination, each sort by deadline."""
+    """The messages held for one destination, in groups sorted by deadline."""
 
     def __init__(self) -> None:
         self.groups: dict[MessageGroup, TimeSortedList[Message]] = {}
-        self.since = NEVER  # when the oldest message held was taken, as long as any is
+        self.since = NEVER  # when the oldest held message was accepted; NEVER without any
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
-    def add(self, message: Message, sort: MessageGroup) -> None:
-        """Hold a message among its sort."""
-        self.groups.setdefault(sort, TimeSortedList()).add(message.deadline, message.ref, message)
-        message.group = sort
+    def add(self, message: Message, group: MessageGroup) -> None:
+        """Add a message to a group."""
+        self.groups.setdefault(group, TimeSortedList()).add(message.deadline, message.ref, message)
+        message.group = group
         self.since = min(self.since, message.accepted_at)
         self._count += 1
 
     def remove(self, message: Message) -> None:
-        """Hold it no longer. Raises KeyError if it is not held here."""
-        sort = message.group
-        if sort is None:
+        """Remove a message. Raises KeyError if it is not held here."""
+        group = message.group
+        if group is None:
             raise KeyError(message.ref)
-        self.groups[sort].remove(message.deadline, message.ref)
-        if not self.groups[sort]:
-            del self.groups[sort]
+        self.groups[group].remove(message.deadline, message.ref)
+        if not self.groups[group]:
+            del self.groups[group]
         message.group = None
         self._count -= 1
         if not self._count:
             self.since = NEVER
 
-    def move(self, message: Message, sort: MessageGroup) -> bool:
-        """A message that is held may be of another sort by now; whether it is."""
-        if message.group in (None, sort):
+    def move(self, message: Message, group: MessageGroup) -> bool:
+        """Move a held message to a group. Returns whether it is held and was in another group."""
+        if message.group in (None, group):
             return False
         since = self.since
         self.remove(message)
-        self.add(message, sort)
+        self.add(message, group)
         self.since = since
         return True
 
     def sendable(self) -> Iterator[tuple[MessageClass, str, TimeSortedList[Message]]]:
-        """The sorts whose turn it is: class, zone and messages of each."""
-        return ((cls, zone, line) for (cls, _, zone, turn), line in self.groups.items() if turn)
+        """Yield class, zone and messages of each group whose messages may be sent now."""
+        return ((cls, zone, messages) for (cls, _, zone, in_turn), messages in self.groups.items() if in_turn)
 
     def refusable(self) -> Iterator[TimeSortedList[Message]]:
-        """The sorts that are not bound to the zone where they have run: coming again is safe for them."""
-        return (line for (_, _, zone, _), line in self.groups.items() if not zone)
+        """Yield the groups not bound to the zone of an earlier attempt; their clients may safely retry."""
+        return (messages for (_, _, zone, _), messages in self.groups.items() if not zone)
 
 
-class DestinationState(Generic[E, G]):
-    """What is held for a destination, and the endpoints that may take it, with the gate that they share."""
+class DestinationState(Generic[EndpointT, LimitT]):
+    """The held messages of a destination, its endpoints, and the limit that these share."""
 
     def __init__(self) -> None:
-        self.endpoints: dict[str, E] = {}
-        self.shared_limit: G | None = None
+        self.endpoints: dict[str, EndpointT] = {}
+        self.shared_limit: LimitT | None = None
         self.held = HeldMessages()
-        self.choice: tuple[float, Message, E] | None = None  # the last pick
-        self.opens_at = NEVER  # when the next route opens that was closed then
-        self.message_rate, self.rate = (
-            RateEstimator(NEVER, RATE_MEMORY_S, INITIAL_RATE_WEIGHT),
-            0.0,
-        )  # own messages for it, and these a second
-        self.last_turn = 0.0  # of the endpoint called last; the others' lie ahead
+        self.choice: tuple[float, Message, EndpointT] | None = (
+            None  # the last selection: urgency, message and endpoint
+        )
+        self.opens_at = NEVER  # when the next endpoint that was closed opens
+        # The rate of own messages for this destination: its estimator and its last value per second.
+        self.message_rate, self.rate = RateEstimator(NEVER, RATE_MEMORY_S, INITIAL_RATE_WEIGHT), 0.0
+        self.last_turn = 0.0  # the turn of the endpoint called last; the other endpoints have later ones
--- a/rowanspindle/notes.py
+++ b/rowanspindle/notes.py
@@ -1,7 +1,8 @@
-"""Notes between senders as bytes: reading and writing only; nothing here decides.
+"""The binary encoding of notes between senders. This module makes no decisions.
 
-A note is a version byte, a running number and facts. A fact is a byte that says what it is, the number that
-it is about and a value, both as varints. At most 256 bytes; whatever cannot be read is a NoteError.
+A note consists of a version byte, a sequence number byte and facts. A fact consists of a kind byte, the
+number of its subject and a value, both as varints. A note has at most 256 bytes. Decoding anything else
+raises a NoteError.
 """
 
 from __future__ import annotations
@@ -12,22 +13,22 @@
 
 VERSION = 0xA1
 MAX_NOTE_BYTES = 256
-HEADER_BYTES = 2  # bytes before the facts
-SEQUENCE_NUMBERS = 256  # running numbers, before they begin again
+HEADER_BYTES = 2  # version and sequence number
+SEQUENCE_NUMBERS = 256  # sequence numbers run from 0 to 255 and wrap around
 MAX_SUBJECT, MAX_VALUE = (1 << 32) - 1, (1 << 14) - 1
 
 
 class FactKind(IntEnum):
-    """What a fact says, of a destination if nothing else is said."""
+    """The kind of a fact. Its subject is a destination unless stated otherwise."""
 
-    WORK = 1  # so many messages wait for it here
-    REFUSED = 2  # it refused a call; so many hundredths of a second of the told wait are left, 0: none told
-    SHORT = 3  # endpoints of its kind run short of connections
-    BACK = 4  # of an endpoint, by the digest of its name: it answers again after an outage
+    WORK = 1  # the value is the number of messages that the sender holds for it
+    REFUSED = 2  # it refused a call; the value is the remaining retry-after wait in 10 ms, 0 without one
+    SHORT = 3  # endpoints of its kind have a shortage of connections
+    BACK = 4  # the subject is an endpoint's digest: it answers again after an outage
 
 
 class Fact(NamedTuple):
-    """One thing that a sender has seen."""
+    """One observation of a sender."""
 
     kind: FactKind
     subject: int
@@ -35,71 +36,71 @@
 
 
 class Note(NamedTuple):
-    """What one sender tells at once."""
+    """The facts that a sender sends at one time."""
 
     number: int
     facts: tuple[Fact, ...]
 
 
 def endpoint_digest(name: str) -> int:
-    """The number that an endpoint's name has in notes. Of two that share one, seldom, one is not heard of."""
+    """Return the number of an endpoint's name in notes; in a rare collision one of the two gets no facts."""
     return crc32(name.encode())
 
 
 class NoteError(ValueError):
-    """Bytes that are no note."""
+    """The bytes are not a valid note."""
 
 
-def varint(value: int) -> bytes:
-    """Seven bits a byte, the lowest first; the highest bit says that more come."""
-    out = bytearray()
+def encode_varint(value: int) -> bytes:
+    """Encode a number with seven bits per byte, the lowest first; the high bit means that more follow."""
+    encoded = bytearray()
     while value > 0x7F:
-        out.append(value & 0x7F | 0x80)
+        encoded.append(value & 0x7F | 0x80)
         value >>= 7
-    out.append(value)
-    return bytes(out)
+    encoded.append(value)
+    return bytes(encoded)
 
 
 def encode_fact(fact: Fact) -> bytes:
-    """One fact."""
-    return bytes([fact.kind]) + varint(fact.subject) + varint(fact.value)
+    """Encode one fact."""
+    return bytes([fact.kind]) + encode_varint(fact.subject) + encode_varint(fact.value)
 
 
 def encode_note(note: Note) -> bytes:
-    """A note's bytes. Raises ValueError if it is too long."""
+    """Encode a note. Raises ValueError if it is too long."""
     data = bytes([VERSION, note.number]) + b"".join(map(encode_fact, note.facts))
     if len(data) > MAX_NOTE_BYTES:
-        raise ValueError(f"a note of {len(data)} bytes, {MAX_NOTE_BYTES} at most")
+        raise ValueError(f"note is too long: {len(data)} bytes, at most {MAX_NOTE_BYTES}")
     return data
 
 
 def decode_note(data: bytes) -> Note:
-    """The note in some bytes, whole. Raises NoteError."""
+    """Decode a note, which must fill the bytes exactly. Raises NoteError."""
     if not HEADER_BYTES < len(data) <= MAX_NOTE_BYTES:
-        raise NoteError(f"{len(data)} bytes")
+        raise NoteError(f"length of {len(data)} bytes")
     if data[0] != VERSION:
-        raise NoteError(f"version {data[0]}")
-    facts, at = list[Fact](), HEADER_BYTES
-    while at < len(data):
+        raise NoteError(f"unknown version {data[0]}")
+    facts, offset = list[Fact](), HEADER_BYTES
+    while offset < len(data):
         try:
-            what = FactKind(data[at])
+            kind = FactKind(data[offset])
         except ValueError:
-            raise NoteError(f"fact {data[at]}") from None
-        where, at = _number(data, at + 1, MAX_SUBJECT)
-        value, at = _number(data, at, MAX_VALUE)
-        facts.append(Fact(what, where, value))
+            raise NoteError(f"unknown fact kind {data[offset]}") from None
+        subject, offset = _decode_varint(data, offset + 1, MAX_SUBJECT)
+        value, offset = _decode_varint(data, offset, MAX_VALUE)
+        facts.append(Fact(kind, subject, value))
     return Note(data[1], tuple(facts))
 
 
-def _number(data: bytes, at: int, most: int) -> tuple[int, int]:
-    """A varint at that place, and the place behind it."""
+def _decode_varint(data: bytes, offset: int, max_value: int) -> tuple[int, int]:
+    """Decode the varint at an offset. Returns the number and the offset behind it."""
     value = shift = 0
-    while at < len(data) and shift <= 28:
-        value |= (data[at] & 0x7F) << shift
-        at += 1
-        if not data[at - 1] & 0x80:
-            if value > most:
-                raise NoteError(f"number {value}")
-            return value, at
+    while offset < len(data) and shift <= 28:
+        value |= (data[offset] & 0x7F) << shift
+        offset += 1
+        if not data[offset - 1] & 0x80:
+            if value > max_value:
+                raise NoteError(f"number {value} is out of range")
+            return value, offset
         shift += 7
-    raise NoteError("a number without its end")
+    raise NoteError("incomplete or too long varint")
--- a/rowanspindle/zones.py
+++ b/rowanspindle/zones.py
@@ -1,8 +1,9 @@
-"""How a sender's calls fall on a destination's endpoints where it costs to leave a zone. No I/O, no choice.
+"""The distribution of a sender's calls over a destination's endpoints where calls to other zones cost extra.
 
-Each sender calls its own zone's endpoints as far as that gives none of them more than an even part over the
-whole fleet, with senders taken to stand evenly in all zones; what is over goes where endpoints have room. So
-as few calls cross as may be, and none is loaded above the others for that.
+Each sender calls the endpoints of its own zone as long as this gives none of them more than an even share of
+the load of the whole fleet, assuming that the senders are spread evenly over all zones. The other calls go
+to zones whose endpoints are below an even share. This minimizes calls between zones while every endpoint gets
+the same load. This module does no I/O and selects no endpoints.
 """
 
 from __future__ import annotations
@@ -13,36 +14,49 @@
 
 
 class Route(Protocol):
-    """An endpoint, as far as this needs it."""
+    """The attributes of an endpoint that this module needs."""
 
     zone: str
-    share: float  # calls that it is to have from here, over an even part
+    share: float  # calls that it gets from this sender, relative to an even share
     turn: float
 
     @property
     def stride(self) -> float:
-        """How far apart its turns lie."""
+        """The distance between two of its turns."""
 
 
-def call_shares(zones: Iterable[str], own: str, count: int) -> dict[str, float]:
-    """For an endpoint of each zone: the calls that a sender in `own` makes there, over an even part.
+def call_shares(zones: Iterable[str], own_zone: str, zone_count: int) -> dict[str, float]:
+    """Return, by zone, the calls of a sender in `own_zone` to one endpoint, relative to an even share.
 
-    `zones` has the zone of each endpoint, `count` says in how many senders stand.
+    `zones` has the zone of each endpoint; `zone_count` is the number of zones with senders.
     """
-    here = Counter(zones)
-    total, count = here.total(), max(count, len({*here, own}))
-    over = max(0.0, 1 - here[own] * count / total)
-    room = {zone: max(0.0, n / total - 1 / count) for zone, n in here.items() if zone != own}
-    spare = sum(room.values())
-    calls = {zone: over * room[zone] / spare if spare else 0.0 for zone in room} | {own: 1 - over}
-    return {zone: calls[zone] * total / n for zone, n in here.items()}
-
-
-def assign_shares(routes: Sequence[Route], own: str, count: int, turn: float) -> None:
-    """Set the shares of all endpoints of a destination; those that are next, `turn` being passed, stay so."""
+    endpoints_per_zone = Counter(zones)
+    endpoint_count, zone_count = (
+        endpoints_per_zone.total(),
+        max(zone_count, len({*endpoints_per_zone, own_zone})),
+    )
+    crossing_fraction = max(0.0, 1 - endpoints_per_zone[own_zone] * zone_count / endpoint_count)
+    free_capacity = {
+        zone: max(0.0, zone_endpoints / endpoint_count - 1 / zone_count)
+        for zone, zone_endpoints in endpoints_per_zone.items()
+        if zone != own_zone
+    }
+    total_free_capacity = sum(free_capacity.values())
+    zone_calls = {
+        zone: crossing_fraction * free_capacity[zone] / total_free_capacity if total_free_capacity else 0.0
+        for zone in free_capacity
+    } | {own_zone: 1 - crossing_fraction}
+    return {
+        zone: zone_calls[zone] * endpoint_count / zone_endpoints
+        for zone, zone_endpoints in endpoints_per_zone.items()
+    }
+
+
+def assign_shares(routes: Sequence[Route], own_zone: str, zone_count: int, turn: float) -> None:
+    """Set the shares of all endpoints of a destination, keeping the order of their turns after `turn`."""
     if not routes:
         return
-    known = call_shares((route.zone for route in routes), own, count)
+    shares = call_shares((route.zone for route in routes), own_zone, zone_count)
     for route in routes:
-        was, route.share = route.stride, known[route.zone]
-        route.turn = turn + (route.turn - turn) * route.stride / was
+        previous_stride, route.share = route.stride, shares[route.zone]
+        route.turn = turn + (route.turn - turn) * route.stride / previous_stride
--- a/tests/contracts/test_notes_transports.py
+++ b/tests/contracts/test_notes_transports.py
@@ -15,7 +15,7 @@
 from rowanrack.model.engine import Engine
 from rowanrack.net.memory_peers import Hub, Weather
 from rowanrack.net.peers import EACH_MOST, PeerPort
-from rowanspindle.gossip import LIVE_US, WORK, Gossip
+from rowanspindle.gossip import SILENCE_TIMEOUT_US, WORK_EXPIRY_INTERVALS, Gossip
 from rowanspindle.notes import MAX_NOTE_BYTES, SEQUENCE_NUMBERS, Fact, FactKind, Note, encode_note
 from tests.test_notes import FLEET, free_port
 
@@ -156,14 +156,19 @@
         """A restart: nothing is believed, and numbers begin anywhere."""
         self.beliefs[n], self.numbers[n] = Gossip(FLEET), number
 
-    @rule(us=st.sampled_from([1_000, 400_000, LIVE_US]))
+    @rule(us=st.sampled_from([1_000, 400_000, SILENCE_TIMEOUT_US]))
     def passes(self, us: int) -> None:
         self.engine.run(self.engine.now + us)
 
     @rule()
     def falls_silent(self) -> None:
         """What was told ages out, and whoever tells something then is heard, whatever its number."""
-        self.engine.run(self.engine.now + LIVE_US + WORK * self.beliefs[0].beat_us + self.late)
+        self.engine.run(
+            self.engine.now
+            + SILENCE_TIMEOUT_US
+            + WORK_EXPIRY_INTERVALS * self.beliefs[0].work_interval_us
+            + self.late
+        )
         assert all(b.active_senders(7, 1, self.engine.now) is None for b in self.beliefs)
         self.hub.weather = Weather()
         for n in range(3):
@@ -175,7 +180,7 @@
     def nothing_is_believed_that_nobody_told(self) -> None:
         for n, beliefs in enumerate(self.beliefs if hasattr(self, "beliefs") else []):
             crowd = beliefs.active_senders(7, 1, self.engine.now)
-            since = self.engine.now - WORK * beliefs.beat_us - self.late
+            since = self.engine.now - WORK_EXPIRY_INTERVALS * beliefs.work_interval_us - self.late
             sums = {0}
             for peer in {0, 1, 2} - {n}:
                 sums = {s + v for s in sums for v in {0} | {v for v, at in self.told[peer] if at >= since}}
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -15,7 +15,13 @@
 from rowanrack.config import _peers
 from rowanrack.net.peers import EACH_MOST, PeerPort
 from rowanspindle import Accept, BroadcastNote, NoteReceived, Result, Send
-from rowanspindle.gossip import BEAT_US, LISTEN, LIVE_US, WORK, Gossip
+from rowanspindle.gossip import (
+    LISTEN_INTERVALS,
+    MIN_WORK_INTERVAL_US,
+    SILENCE_TIMEOUT_US,
+    WORK_EXPIRY_INTERVALS,
+    Gossip,
+)
 from rowanspindle.notes import (
     MAX_NOTE_BYTES,
     MAX_VALUE,
@@ -52,15 +58,15 @@
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (b"", "0 bytes"),
-        (b"\xa1\x01", "2 bytes"),
-        (b"\xa1\x01" + b"\x01\x01\x01" * 85, "257 bytes"),
-        (b"\xa2\x01\x01\x01\x01", "version 162"),
-        (b"\xa1\x01\x09\x01\x01", "fact 9"),
-        (b"\xa1\x01\x01\x01", "a number without its end"),
-        (b"\xa1\x01\x01\x80\x80\x80\x80\x80\x01\x01", "a number without its end"),
-        (b"\xa1\x01\x01\x01\xff\xff\x7f", "number 2097151"),
-        (b"\xa1\x01\x01\xff\xff\xff\xff\x7f\x01", "number 34359738367"),
+        (b"", "length of 0 bytes"),
+        (b"\xa1\x01", "length of 2 bytes"),
+        (b"\xa1\x01" + b"\x01\x01\x01" * 85, "length of 257 bytes"),
+        (b"\xa2\x01\x01\x01\x01", "unknown version 162"),
+        (b"\xa1\x01\x09\x01\x01", "unknown fact kind 9"),
+        (b"\xa1\x01\x01\x01", "incomplete or too long varint"),
+        (b"\xa1\x01\x01\x80\x80\x80\x80\x80\x01\x01", "incomplete or too long varint"),
+        (b"\xa1\x01\x01\x01\xff\xff\x7f", "number 2097151 is out of range"),
+        (b"\xa1\x01\x01\xff\xff\xff\xff\x7f\x01", "number 34359738367 is out of range"),
     ],
 )
 def test_bad_notes_are_named(data: bytes, why: str) -> None:
@@ -111,9 +117,9 @@
     hearsay = caller.forwarder.gossip
     assert hearsay.active_senders(1, 1, caller.now) == 10 and hearsay.active_senders(1, 3, caller.now) == 4
     assert hearsay.active_senders(2, 1, caller.now) == 1
-    caller.wait(WORK * BEAT_US + SECOND_US)
+    caller.wait(WORK_EXPIRY_INTERVALS * MIN_WORK_INTERVAL_US + SECOND_US)
     assert hearsay.active_senders(1, 1, caller.now) == 1  # a peer that died leaves nothing behind
-    caller.wait(LIVE_US)
+    caller.wait(SILENCE_TIMEOUT_US)
     assert hearsay.active_senders(1, 1, caller.now) is None  # and a fleet that is not heard is guessed at
     for _ in range(20):
         caller.accept()
@@ -140,8 +146,8 @@
 def test_a_sender_that_begins_again_is_heard_once_its_last_note_is_old() -> None:
     hearsay = Gossip(FLEET)
     hearsay.receive(3, Note(90, (Fact(FactKind.WORK, 1, 5),)), 0)
-    hearsay.receive(3, Note(1, (Fact(FactKind.WORK, 1, 2),)), LIVE_US)
-    assert hearsay.active_senders(1, 1, LIVE_US) == 3
+    hearsay.receive(3, Note(1, (Fact(FactKind.WORK, 1, 2),)), SILENCE_TIMEOUT_US)
+    assert hearsay.active_senders(1, 1, SILENCE_TIMEOUT_US) == 3
 
 
 @pytest.mark.parametrize(
@@ -159,7 +165,9 @@
     caller = sender()
     caller.end(caller.accept(), Result.CONNECT_FAILED)
     caller.step(NoteReceived(9, Note(0, (Fact(FactKind.WORK, 2, 1),))))
-    caller.wait(LISTEN * caller.forwarder.gossip.beat_us)  # who has just begun to listen knows of nobody
+    caller.wait(
+        LISTEN_INTERVALS * caller.forwarder.gossip.work_interval_us
+    )  # who has just begun to listen knows of nobody
     for number in numbers:
         for peer in range(1, 4):
             caller.step(NoteReceived(peer, Note(number, (Fact(FactKind.WORK, 2, 1),))))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,7 +18,7 @@
     Result,
     UpdateScope,
 )
-from rowanspindle.gossip import LISTEN
+from rowanspindle.gossip import LISTEN_INTERVALS
 from rowanspindle.notes import Fact, FactKind, Note, endpoint_digest
 from tests.helpers import SECOND_US, Caller, member
 
@@ -109,10 +109,10 @@
     caller = sender()
     caller.end(caller.accept(left_us=LONG), Result.CONNECT_FAILED)
     hearsay, work = caller.forwarder.gossip, (Fact(FactKind.WORK, 2, 1),)
-    for number in range(LISTEN):
+    for number in range(LISTEN_INTERVALS):
         assert not hearsay.informed(caller.now)
         caller.step(NoteReceived(3, Note(number, work)))
-        caller.wait(hearsay.beat_us)
+        caller.wait(hearsay.work_interval_us)
     assert hearsay.informed(caller.now)
 
 
