--- a/rowanspindle/__init__.py
+++ b/rowanspindle/__init__.py
@@ -1,4 +1,4 @@
-"""rowanspindle: the decisions of an outbound gateway. All public names are exported here."""
+"""rowanspindle: the decision module of an outbound gateway. All public names are exported here."""
 
 from rowanspindle.api import (
     Accept,
--- a/rowanspindle/wire.py
+++ b/rowanspindle/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: parsing and formatting only; nothing here decides."""
+"""Parsing and formatting of the simulator's line protocol. This module makes no decisions."""
 
 from __future__ import annotations
 
@@ -58,109 +58,113 @@
 
 
 class WireError(ValueError):
-    """A line that cannot be read."""
+    """A line that cannot be parsed."""
 
 
-def whole(text: str) -> int:
-    """A whole number; '-' is an absent one, read as 0."""
-    if text == "-":
+def parse_int(word: str) -> int:
+    """Parse an integer; '-' stands for an absent value and yields 0."""
+    if word == "-":
         return 0
     try:
-        return int(text)
+        return int(word)
     except ValueError:
-        raise WireError(f"not a whole number: {text!r}") from None
+        raise WireError(f"not an integer: {word!r}") from None
 
 
-def number(text: str) -> float:
-    """A finite number; '-' is an absent one, read as 0."""
+def parse_number(word: str) -> float:
+    """Parse a finite number; '-' stands for an absent value and yields 0."""
     try:
-        value = 0.0 if text == "-" else float(text)
+        value = 0.0 if word == "-" else float(word)
     except ValueError:
-        raise WireError(f"not a number: {text!r}") from None
+        raise WireError(f"not a number: {word!r}") from None
     if not math.isfinite(value):
-        raise WireError(f"not a finite number: {text!r}")
+        raise WireError(f"not a finite number: {word!r}")
     return value
 
 
-def text(word: str) -> str | None:
-    """A word, or None where it is absent."""
+def parse_optional_word(word: str) -> str | None:
+    """Return a word, or None if it is absent ('-')."""
     return None if word == "-" else word
 
 
-def pick(table: dict[str, Any], word: str, what: str) -> Any:
-    """Look a word up, or say which one is unknown."""
+def lookup(table: dict[str, Any], word: str, description: str) -> Any:
+    """Look up a word. Raises WireError with the `description` and the word if it is unknown."""
     if word not in table:
-        raise WireError(f"unknown {what}: {word!r}")
+        raise WireError(f"unknown {description}: {word!r}")
     return table[word]
 
 
-def fields(line: str, count: int) -> list[str]:
-    """The values of a line, which must be so many."""
+def split_values(line: str, expected: int) -> list[str]:
+    """Split off the values after the first word of a line. Raises WireError unless there are `expected`."""
     values = line.split(" ")[1:]
-    if len(values) != count:
-        raise WireError(f"{count} values wanted, {len(values)} found")
+    if len(values) != expected:
+        raise WireError(f"expected {expected} values, found {len(values)}")
     return values
 
 
-def parse_settings(raw: str) -> Settings:
-    """Read the settings; keys that are not known are skipped, optional ones may be absent or null."""
+def parse_settings(encoded: str) -> Settings:
+    """Parse the settings. Unknown keys are ignored; optional ones may be absent or null."""
     try:
-        doc = json.loads(raw)
+        document = json.loads(encoded)
     except (json.JSONDecodeError, RecursionError) as error:
-        raise WireError(f"settings are no JSON: {error}") from None
+        raise WireError(f"settings are not valid JSON: {error}") from None
     try:
-        return _settings(doc)
+        return _settings(document)
     except (KeyError, TypeError, AttributeError) as error:
-        raise WireError(f"settings: bad or missing {error}") from None
+        raise WireError(f"settings: invalid or missing {error}") from None
     except (ValueError, OverflowError) as error:
         raise WireError(f"settings: {error}") from None
 
 
-def _settings(doc: dict[str, Any]) -> Settings:
-    limits, rules, extra = doc["limits"], doc.get("rules") or {}, doc.get("extra") or {}
-    zones, prices, report = doc.get("azs") or [], doc.get("prices") or {}, doc.get("report") or {}
-    given: dict[str, Any] = {
-        "replicas": count(doc.get("replicas_of_me")),
-        "try_limit": count(limits.get("try_limit")),
+def _settings(document: dict[str, Any]) -> Settings:
+    limits, rules, extra = document["limits"], document.get("rules") or {}, document.get("extra") or {}
+    zones, prices, report = (
+        document.get("azs") or [],
+        document.get("prices") or {},
+        document.get("report") or {},
+    )
+    optional: dict[str, Any] = {
+        "replicas": optional_int(document.get("replicas_of_me")),
+        "try_limit": optional_int(limits.get("try_limit")),
         "cancel": limits.get("cancel"),
         "second_copies": limits.get("second_copies"),
-        "over_share_worth": doc.get("over_share_worth"),
-        "max_come_back_us": count(limits.get("max_retry_after_us")),
-        "keepalive_us": count(limits.get("keepalive_us")),
-        "connect_timeout_us": count(limits.get("connect_timeout_us")),
-        "streams_per_conn": count(limits.get("streams_per_conn")),
-        "ask_within_us": count(rules.get("ask_within_us")),
-        "answer_slack_us": count(rules.get("answer_slack_us")),
+        "over_share_worth": document.get("over_share_worth"),
+        "max_come_back_us": optional_int(limits.get("max_retry_after_us")),
+        "keepalive_us": optional_int(limits.get("keepalive_us")),
+        "connect_timeout_us": optional_int(limits.get("connect_timeout_us")),
+        "streams_per_conn": optional_int(limits.get("streams_per_conn")),
+        "ask_within_us": optional_int(rules.get("ask_within_us")),
+        "answer_slack_us": optional_int(rules.get("answer_slack_us")),
         "cold_share": rules.get("cold_share"),
-        "ramp_us": count(rules.get("ramp_time_us")),
-        "fall_us": count(rules.get("fall_us")),
+        "ramp_us": optional_int(rules.get("ramp_time_us")),
+        "fall_us": optional_int(rules.get("fall_us")),
         "overload_factor": rules.get("overload_factor"),
-        "key_rest_us": count(rules.get("key_rest_us")),
+        "key_rest_us": optional_int(rules.get("key_rest_us")),
         "refused_price": extra.get("turned_away_price"),
         "peers": limits.get("peers"),
         "peer_price": prices.get("peer"),
         "crossing_price": prices.get("cross_zone"),
-        "zone": doc.get("zone"),
+        "zone": document.get("zone"),
         "zones": len(zones or [""]),
-        "most_held": count(limits["most_held"]),
-        "slots": count(limits["most_held"] if extra.get("slots") is None else extra["slots"]),
+        "most_held": optional_int(limits["most_held"]),
+        "slots": optional_int(limits["most_held"] if extra.get("slots") is None else extra["slots"]),
     }
     return Settings(
-        classes={g["name"]: _message_class(g) for g in doc["grades"]},
-        tenants={t["name"]: float(t["quota_per_s"]) for t in doc.get("tenants") or []},
-        kinds=_kinds(doc.get("kinds") or [], extra),
-        weights_told=doc.get("weight_kind") != "silent",
-        weights_exact=doc.get("weight_kind") == "nominal",
+        classes={g["name"]: _message_class(g) for g in document["grades"]},
+        tenants={t["name"]: float(t["quota_per_s"]) for t in document.get("tenants") or []},
+        kinds=_kinds(document.get("kinds") or [], extra),
+        weights_told=document.get("weight_kind") != "silent",
+        weights_exact=document.get("weight_kind") == "nominal",
         zone_fees=dict(zip(zones, extra.get("zone_fee") or [], strict=False)),
         reports=tuple(report.get("names") or ()) if report.get("how") == "piggyback" else (),
-        on_request=doc.get("membership_mode") == "on_request",
+        on_request=document.get("membership_mode") == "on_request",
         halves=extra.get("fades") == "halves",
-        **{name: value for name, value in given.items() if value is not None},
+        **{name: value for name, value in optional.items() if value is not None},
     )
 
 
-def count(value: Any) -> int | None:
-    """A whole number, however JSON writes it (2e6, 2000000.0): records and timers take no other."""
+def optional_int(value: Any) -> int | None:
+    """Convert a JSON number (also 2e6 or 2000000.0) to int: records and timers need integers."""
     return None if value is None else int(value)
 
 
@@ -179,81 +183,94 @@
 
 
 def _kinds(names: list[str], extra: dict[str, Any]) -> dict[str, DestinationKind]:
-    """What is told of each kind; a list that ends early says nothing of those behind."""
-    batches, aparts = extra.get("batch_by_kind") or [], extra.get("kind_apart") or []
-    told = zip_longest(names, batches[: len(names)], aparts[: len(names)])
-    return {name: DestinationKind(int(batch or 1), bool(apart)) for name, batch, apart in told}
+    """Parse the settings of each kind; kinds beyond the end of a list get the defaults."""
+    batches, apart_flags = extra.get("batch_by_kind") or [], extra.get("kind_apart") or []
+    kind_settings = zip_longest(names, batches[: len(names)], apart_flags[: len(names)])
+    return {name: DestinationKind(int(batch or 1), bool(apart)) for name, batch, apart in kind_settings}
 
 
 def parse_entry(line: str) -> EndpointEntry:
-    """One entry of a numbered list."""
-    target, zone, kind, dest, status, units, _ready = fields(line, 7)
-    return EndpointEntry(target, zone, kind, whole(dest), pick(STATUSES, status, "status"), number(units))
+    """Parse an entry of a numbered endpoint list."""
+    target, zone, kind, dest, status, weight, _ready = split_values(line, 7)
+    return EndpointEntry(
+        target, zone, kind, parse_int(dest), lookup(STATUSES, status, "status"), parse_number(weight)
+    )
 
 
 def parse_accept(line: str) -> Event:
-    """A new message."""
-    ref, cls, _hint, dest, tenant, _bits, left, key = fields(line, 8)
-    return Accept(whole(ref), cls, whole(dest), whole(left), text(tenant), text(key))
+    """Parse a new message."""
+    ref, cls, _hint, dest, tenant, _bits, left, key = split_values(line, 8)
+    return Accept(
+        parse_int(ref),
+        cls,
+        parse_int(dest),
+        parse_int(left),
+        parse_optional_word(tenant),
+        parse_optional_word(key),
+    )
 
 
 def parse_outcome(line: str) -> Event:
-    """The end of an attempt."""
-    ref, leg, target, how, latency, over, detail, gauge = fields(line, 8)
-    result = pick(RESULTS, how, "outcome")
+    """Parse the end of an attempt."""
+    ref, attempt_number, target, result_word, latency, ended_flag, wait_ms, load_report = split_values(
+        line, 8
+    )
+    result = lookup(RESULTS, result_word, "outcome")
     report: dict[str, float] = {}
-    for pair in [] if gauge == "-" else gauge.split(","):
+    for pair in [] if load_report == "-" else load_report.split(","):
         name, colon, value = pair.partition(":")
         if not colon:
             raise WireError(f"not a name:value pair: {pair!r}")
-        report[name] = number(value)
-    wait = whole(detail) * 1000 if result is Result.FULL else 0
+        report[name] = parse_number(value)
+    wait_us = parse_int(wait_ms) * 1000 if result is Result.FULL else 0
     return Outcome(
-        whole(ref),
-        whole(leg),
+        parse_int(ref),
+        parse_int(attempt_number),
         target,
         result,
-        whole(latency),
-        over == "1",
-        wait,
+        parse_int(latency),
+        ended_flag == "1",
+        wait_us,
         report.get("x0"),
         report.get("x1"),
     )
 
 
 def parse_withdrawn(line: str) -> Event:
-    """A message that its client has taken back."""
-    return Withdrawn(whole(fields(line, 1)[0]))
+    """Parse the withdrawal of a message by its client."""
+    return Withdrawn(parse_int(split_values(line, 1)[0]))
 
 
 def parse_timer(line: str) -> Event:
-    """A timer that is due."""
-    return TimerFired(whole(fields(line, 1)[0]))
+    """Parse the expiry of a timer."""
+    return TimerFired(parse_int(split_values(line, 1)[0]))
 
 
-def parse_heard(line: str) -> Event | None:
-    """A note from another instance; None if its bytes are none."""
-    peer, raw = fields(line, 2)
+def parse_note(line: str) -> Event | None:
+    """Parse a note from another forwarder; None if its bytes are not a valid note."""
+    peer, encoded = split_values(line, 2)
     try:
-        return NoteReceived(whole(peer), notes.decode_note(bytes.fromhex("" if raw == "-" else raw)))
+        return NoteReceived(
+            parse_int(peer), notes.decode_note(bytes.fromhex("" if encoded == "-" else encoded))
+        )
     except notes.NoteError:
         return None
     except ValueError:
-        raise WireError(f"not hex: {raw!r}") from None
+        raise WireError(f"not hexadecimal: {encoded!r}") from None
 
 
-EVENTS: dict[str, Callable[[str], Event | None]] = {
+EVENT_PARSERS: dict[str, Callable[[str], Event | None]] = {
     "ACCEPT": parse_accept,
     "COMPLETED": parse_outcome,
     "ABORTED": parse_withdrawn,
     "DUE": parse_timer,
-    "MAIL": parse_heard,
+    "MAIL": parse_note,
 }
-IGNORED = frozenset({"STREAMING", "PING_RESULT"})
+IGNORED_EVENTS = frozenset({"STREAMING", "PING_RESULT"})
 
 
 def format_action(action: Action) -> str:
-    """One line of a reply."""
+    """Format an action as a line of the reply."""
     match action:
         case Send():
             return f"ASSIGN {action.ref} {action.target} {action.timeout_us}"
@@ -276,15 +293,15 @@
 
 
 __all__ = [
-    "EVENTS",
-    "IGNORED",
+    "EVENT_PARSERS",
+    "IGNORED_EVENTS",
     "SCOPES",
     "EndpointListUpdate",
     "WireError",
-    "fields",
     "format_action",
+    "lookup",
     "parse_entry",
+    "parse_int",
     "parse_settings",
-    "pick",
-    "whole",
+    "split_values",
 ]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire and the adapter, the latter as a process of its own."""
+"""The simulator's line protocol, and the adapter run as a separate process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     wire,
 )
 
-PARAMS = json.dumps(
+SETTINGS_JSON = json.dumps(
     {
         "extra": {"slots": 4, "batch_by_kind": [1], "kind_apart": [False], "fades": "halves", "new": 1},
         "grades": [
@@ -44,15 +44,13 @@
         "unheard_of": {"x": [1]},
     }
 )
-START = (
-    f"TICK 5\nTO f_0\nINIT 9 {PARAMS}\nCENSUS 0 1\nENTRY t1 z k 7 U 4.5 -\nBACKENDS_CHANGED cached 1 0\nEOB\n"
-)
+START_BATCH = f"TICK 5\nTO f_0\nINIT 9 {SETTINGS_JSON}\nCENSUS 0 1\nENTRY t1 z k 7 U 4.5 -\nBACKENDS_CHANGED cached 1 0\nEOB\n"
 
 
-def drill(text: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(input_text: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "rowanspindle.simulator_adapter"],
-        input=text,
+        input=input_text,
         capture_output=True,
         text=True,
         timeout=60,
@@ -60,25 +58,27 @@
     )
 
 
-def test_settings_are_read() -> None:
-    settings = wire.parse_settings(PARAMS)
+def test_settings_are_parsed() -> None:
+    settings = wire.parse_settings(SETTINGS_JSON)
     assert settings.slots == 4 and settings.try_limit == 3 and settings.on_request and settings.halves
     assert settings.classes["c"].ordered and settings.classes["c"].same_zone
     assert settings.replicas == 1
 
 
-def test_events_are_read() -> None:
+def test_events_are_parsed() -> None:
     line = "ACCEPT 15 c 12000 57 t 1 240000 doc-k"
-    assert wire.EVENTS["ACCEPT"](line) == Accept(15, "c", 57, 240000, "t", "doc-k")
+    assert wire.EVENT_PARSERS["ACCEPT"](line) == Accept(15, "c", 57, 240000, "t", "doc-k")
     line = "COMPLETED 15 2 t1 overloaded 18500 0 250 x0:0.5,x1:9"
-    assert wire.EVENTS["COMPLETED"](line) == Outcome(15, 2, "t1", Result.FULL, 18500, False, 250000, 0.5, 9.0)
-    assert wire.EVENTS["COMPLETED"]("COMPLETED 1 0 t void 1 1 1 -") == Outcome(
+    assert wire.EVENT_PARSERS["COMPLETED"](line) == Outcome(
+        15, 2, "t1", Result.FULL, 18500, False, 250000, 0.5, 9.0
+    )
+    assert wire.EVENT_PARSERS["COMPLETED"]("COMPLETED 1 0 t void 1 1 1 -") == Outcome(
         1, 0, "t", Result.MOOT, 1, True
     )
 
 
-def test_actions_are_written() -> None:
-    written = [
+def test_actions_are_formatted() -> None:
+    formatted = [
         wire.format_action(a)
         for a in (
             Send(1, "t", 5),
@@ -90,7 +90,7 @@
             LogLine("a b"),
         )
     ]
-    assert written == [
+    assert formatted == [
         "ASSIGN 1 t 5",
         "OVERLOAD_REPLY 1 7",
         "ABORT 2",
@@ -101,25 +101,31 @@
     ]
 
 
-def test_a_short_day() -> None:
-    ran = drill(START + "TICK 10\nTO f_0\nACCEPT 3 c - 7 - 0 9000000 k1\nEOB\nTICK 15\nEOB\n")
-    assert ran.returncode == 0 and ran.stderr == ""
-    assert "FOLLOW 1" in ran.stdout and "ASSIGN 3 t1 " in ran.stdout and ran.stdout.count("READY\n") == 3
+def test_batches_are_answered_in_order() -> None:
+    completed = run_adapter(
+        START_BATCH + "TICK 10\nTO f_0\nACCEPT 3 c - 7 - 0 9000000 k1\nEOB\nTICK 15\nEOB\n"
+    )
+    assert completed.returncode == 0 and completed.stderr == ""
+    assert (
+        "FOLLOW 1" in completed.stdout
+        and "ASSIGN 3 t1 " in completed.stdout
+        and completed.stdout.count("READY\n") == 3
+    )
 
 
-def test_an_instance_may_die_and_start_in_one_batch() -> None:
-    again = START.replace("TICK 5\nTO f_0\n", "TICK 20\nTO f_0\nDESTROY\n")
-    ran = drill(START + again + "TICK 25\nTO f_0\nDESTROY\nEOB\n")
-    assert ran.returncode == 0 and ran.stdout.count("FOLLOW 1") == 2
+def test_an_instance_may_be_destroyed_and_created_again_in_one_batch() -> None:
+    again = START_BATCH.replace("TICK 5\nTO f_0\n", "TICK 20\nTO f_0\nDESTROY\n")
+    completed = run_adapter(START_BATCH + again + "TICK 25\nTO f_0\nDESTROY\nEOB\n")
+    assert completed.returncode == 0 and completed.stdout.count("FOLLOW 1") == 2
 
 
-def test_no_input_is_a_clean_exit() -> None:
-    ran = drill("")
-    assert (ran.returncode, ran.stdout, ran.stderr) == (0, "", "")
+def test_empty_input_exits_without_error() -> None:
+    completed = run_adapter("")
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, "", "")
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("input_text", "expected_text"),
     [
         ("TICK x\nEOB\n", "line 1"),
         ("NOISE\n", "line 1"),
@@ -128,22 +134,26 @@
         ("TICK 5\nTO f_0\nINIT 9 {}\nEOB\n", "settings"),
         ("TICK 5\nDUE 1\nEOB\n", "before any TO"),
         ("TICK 5\nTO f_0", "cut off"),
-        (START + "TICK 6\nTO f_0\n", "inside a batch"),
-        (START + "TICK 6\nTO f_0\nWHAT 1\nEOB\n", "unknown message"),
-        (START + "TICK 6\nTO f_0\nACCEPT 1 nope - 7 - 0 90 -\nEOB\n", "unknown class"),
-        (START + "TICK 6\nTO f_0\nCOMPLETED 1 0 t odd 1 1 - -\nEOB\n", "unknown outcome"),
-        (START + "TICK 6\nTO f_0\nDUE\nEOB\n", "1 values wanted"),
+        (START_BATCH + "TICK 6\nTO f_0\n", "inside a batch"),
+        (START_BATCH + "TICK 6\nTO f_0\nWHAT 1\nEOB\n", "unknown message"),
+        (START_BATCH + "TICK 6\nTO f_0\nACCEPT 1 nope - 7 - 0 90 -\nEOB\n", "unknown class"),
+        (START_BATCH + "TICK 6\nTO f_0\nCOMPLETED 1 0 t odd 1 1 - -\nEOB\n", "unknown outcome"),
+        (START_BATCH + "TICK 6\nTO f_0\nDUE\nEOB\n", "expected 1 values"),
     ],
 )
-def test_bad_input_ends_the_adapter_plainly(text: str, word: str) -> None:
-    ran = drill(text)
-    assert ran.returncode != 0
-    assert ran.stderr.count("\n") == 1 and word in ran.stderr and "line " in ran.stderr
-    assert ran.stdout == "" or ran.stdout.endswith("READY\n")
+def test_invalid_input_ends_the_adapter_with_one_error_line(input_text: str, expected_text: str) -> None:
+    completed = run_adapter(input_text)
+    assert completed.returncode != 0
+    assert (
+        completed.stderr.count("\n") == 1
+        and expected_text in completed.stderr
+        and "line " in completed.stderr
+    )
+    assert completed.stdout == "" or completed.stdout.endswith("READY\n")
 
 
-def test_weights_count_only_where_they_are_told() -> None:
-    """A silent list gives the weight 1 to all: it is no rate."""
-    assert wire.parse_settings(PARAMS).weights_told
-    silent = json.dumps(json.loads(PARAMS) | {"weight_kind": "silent"})
+def test_weights_are_ignored_if_the_list_has_none() -> None:
+    """A list without weights (`silent`) gives every endpoint the weight 1, which is not a rate."""
+    assert wire.parse_settings(SETTINGS_JSON).weights_told
+    silent = json.dumps(json.loads(SETTINGS_JSON) | {"weight_kind": "silent"})
     assert not wire.parse_settings(silent).weights_told
