--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings, events and a driver that keeps the caller's side of the contract."""
+"""Helpers shared by the tests: settings, events and a driver that acts as the caller of a forwarder."""
 
 from __future__ import annotations
 
@@ -65,13 +65,13 @@
 
 
 class Caller:
-    """Drives one forwarder: numbers attempts, keeps its timers and remembers what it did."""
+    """Drives one forwarder: numbers its attempts, runs its timers and records its actions."""
 
     def __init__(self, *members: EndpointEntry, **changes: object) -> None:
         self.forwarder = Forwarder(replace(BASE, **changes), 7)  # type: ignore[arg-type]
         self.now = 1000 * SECOND_US
         self.timers: dict[int, int] = {}
-        self.legs: dict[int, int] = {}
+        self.attempts_sent: dict[int, int] = {}
         self.out: dict[tuple[int, int], str] = {}
         self.ended: dict[int, str] = {}
         self.log: list[tuple[int, Action]] = []
@@ -80,18 +80,18 @@
         self.step(EndpointListUpdate(UpdateScope.FULL, members or (member("t1"),)))
 
     def step(self, *events: Event) -> list[Action]:
-        """One batch at the present time."""
+        """Pass one batch of events at the current time. Returns the actions."""
         actions = self.forwarder.decide(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
             self.watch(self.now, action)
             match action:
                 case Send():
-                    leg = self.legs.get(action.ref, 0)
-                    self.legs[action.ref] = leg + 1
-                    self.out[action.ref, leg] = action.target
+                    attempt_number = self.attempts_sent.get(action.ref, 0)
+                    self.attempts_sent[action.ref] = attempt_number + 1
+                    self.out[action.ref, attempt_number] = action.target
                 case Refuse() | Fail():
-                    assert action.ref not in self.ended, "two final answers"
+                    assert action.ref not in self.ended, f"message {action.ref} got two final answers"
                     self.ended[action.ref] = type(action).__name__
                 case ArmTimer():
                     assert action.after_us > 0
@@ -99,7 +99,7 @@
         return actions
 
     def wait(self, us: int) -> list[Action]:
-        """Let time pass, in the order in which the timers fall due."""
+        """Advance the clock by `us`, firing the timers in order. Returns the actions."""
         until, actions = self.now + us, []
         while True:
             due = min(((t, k) for k, t in self.timers.items() if t <= until), default=None)
@@ -131,13 +131,15 @@
         wait_us: int = 0,
         limit: float | None = None,
     ) -> list[Action]:
-        """The last attempt of a message ends."""
-        leg = self.legs[ref] - 1
-        target = self.out.pop((ref, leg))
+        """End the last attempt of a message. Returns the actions."""
+        attempt_number = self.attempts_sent[ref] - 1
+        target = self.out.pop((ref, attempt_number))
         if result is Result.OK:
             self.ended.setdefault(ref, "Ok")
         return self.step(
-            Outcome(ref, leg, target, result, latency_us, result is Result.OK, wait_us, None, limit)
+            Outcome(
+                ref, attempt_number, target, result, latency_us, result is Result.OK, wait_us, None, limit
+            )
         )
 
     def is_out(self, ref: int) -> bool:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -44,7 +44,10 @@
         "unheard_of": {"x": [1]},
     }
 )
-START_BATCH = f"TICK 5\nTO f_0\nINIT 9 {SETTINGS_JSON}\nCENSUS 0 1\nENTRY t1 z k 7 U 4.5 -\nBACKENDS_CHANGED cached 1 0\nEOB\n"
+START_BATCH = (
+    f"TICK 5\nTO f_0\nINIT 9 {SETTINGS_JSON}\nCENSUS 0 1\nENTRY t1 z k 7 U 4.5 -\n"
+    "BACKENDS_CHANGED cached 1 0\nEOB\n"
+)
 
 
 def run_adapter(input_text: str) -> subprocess.CompletedProcess[str]:
@@ -101,7 +104,7 @@
     ]
 
 
-def test_batches_are_answered_in_order() -> None:
+def test_each_batch_is_answered_and_an_accepted_message_is_sent() -> None:
     completed = run_adapter(
         START_BATCH + "TICK 10\nTO f_0\nACCEPT 3 c - 7 - 0 9000000 k1\nEOB\nTICK 15\nEOB\n"
     )
@@ -152,7 +155,7 @@
     assert completed.stdout == "" or completed.stdout.endswith("READY\n")
 
 
-def test_weights_are_ignored_if_the_list_has_none() -> None:
+def test_a_silent_list_is_parsed_as_having_no_weights() -> None:
     """A list without weights (`silent`) gives every endpoint the weight 1, which is not a rate."""
     assert wire.parse_settings(SETTINGS_JSON).weights_told
     silent = json.dumps(json.loads(SETTINGS_JSON) | {"weight_kind": "silent"})
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -1,4 +1,4 @@
-"""Notes between senders: their bytes, what is told and believed, and the port that they come to."""
+"""Notes between senders: their encoding, what is sent and accepted, and the port that receives them."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 
 @given(st.integers(0, 255), st.lists(facts, min_size=1, max_size=20))
-def test_what_is_written_is_read(number: int, told: list[Fact]) -> None:
-    note = Note(number, tuple(told))
+def test_an_encoded_note_is_decoded_unchanged(number: int, sent_facts: list[Fact]) -> None:
+    note = Note(number, tuple(sent_facts))
     assert decode_note(encode_note(note)) == note
 
 
 @given(st.binary(max_size=MAX_NOTE_BYTES + 20))
-def test_noise_is_a_note_or_a_note_error(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_raise_a_note_error(data: bytes) -> None:
     try:
         note = decode_note(data)
     except NoteError:
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "expected_error"),
     [
         (b"", "length of 0 bytes"),
         (b"\xa1\x01", "length of 2 bytes"),
@@ -69,12 +69,12 @@
         (b"\xa1\x01\x01\xff\xff\xff\xff\x7f\x01", "number 34359738367 is out of range"),
     ],
 )
-def test_bad_notes_are_named(data: bytes, why: str) -> None:
-    with pytest.raises(NoteError, match=f"^{why}$"):
+def test_the_error_names_the_fault_of_an_invalid_note(data: bytes, expected_error: str) -> None:
+    with pytest.raises(NoteError, match=f"^{expected_error}$"):
         decode_note(data)
 
 
-def told(caller: Caller) -> list[Fact]:
+def sent_facts(caller: Caller) -> list[Fact]:
     return [f for _, a in caller.log if isinstance(a, BroadcastNote) for f in a.note.facts]
 
 
@@ -83,91 +83,90 @@
     return Caller(member("t1"), **settings)
 
 
-def heard(caller: Caller, number: int, *facts: Fact, peer: int = 5) -> None:
+def receive_note(caller: Caller, number: int, *facts: Fact, peer: int = 5) -> None:
     caller.step(NoteReceived(peer, Note(number, facts)))
 
 
-def test_a_told_wait_is_told_at_once_and_holds_for_those_that_hear_it() -> None:
-    """Each of forty senders learnt a shut destination by a refused call of its own."""
-    one, other = sender(), sender()
-    one.end(one.accept(), Result.FULL, wait_us=3 * SECOND_US)
-    assert told(one) == [Fact(FactKind.REFUSED, 1, 300)]
-    heard(other, 1, *told(one))
-    other.accept()
-    other.wait(2 * SECOND_US)
-    assert not other.sends()
-    other.wait(4 * SECOND_US)
-    assert other.sends() and other.sends()[0][0] >= 1000 * SECOND_US + 3 * SECOND_US
+def test_a_retry_after_wait_is_sent_at_once_and_observed_by_its_receivers() -> None:
+    """Without notes, each of forty senders learnt of a closed destination only by a refused call."""
+    refused_sender, receiving_sender = sender(), sender()
+    refused_sender.end(refused_sender.accept(), Result.FULL, wait_us=3 * SECOND_US)
+    assert sent_facts(refused_sender) == [Fact(FactKind.REFUSED, 1, 300)]
+    receive_note(receiving_sender, 1, *sent_facts(refused_sender))
+    receiving_sender.accept()
+    receiving_sender.wait(2 * SECOND_US)
+    assert not receiving_sender.sends()
+    receiving_sender.wait(4 * SECOND_US)
+    assert receiving_sender.sends() and receiving_sender.sends()[0][0] >= 1000 * SECOND_US + 3 * SECOND_US
 
 
-def test_hearsay_never_shortens_an_own_wait() -> None:
+def test_a_received_note_never_shortens_an_own_retry_after_wait() -> None:
     caller = sender()
     ref = caller.accept()
     caller.wait(1000)
     caller.end(ref, Result.FULL, wait_us=3 * SECOND_US)
-    began = caller.now
-    heard(caller, 1, Fact(FactKind.REFUSED, 1, 1), Fact(FactKind.BACK, endpoint_digest("t1")))
+    note_received_at = caller.now
+    receive_note(caller, 1, Fact(FactKind.REFUSED, 1, 1), Fact(FactKind.BACK, endpoint_digest("t1")))
     caller.wait(10 * SECOND_US)
-    assert caller.sends(since=began)[0][0] > began + 3 * SECOND_US
+    assert caller.sends(since=note_received_at)[0][0] > note_received_at + 3 * SECOND_US
 
 
-def test_work_that_waits_is_told_until_it_is_gone_and_shares_the_pace() -> None:
+def test_held_messages_are_reported_until_gone_and_share_the_rate() -> None:
     caller = sender()
     caller.step(NoteReceived(5, Note(1, (Fact(FactKind.WORK, 1, 9),))))
-    hearsay = caller.forwarder.gossip
-    assert hearsay.active_senders(1, 1, caller.now) == 10 and hearsay.active_senders(1, 3, caller.now) == 4
-    assert hearsay.active_senders(2, 1, caller.now) == 1
+    gossip = caller.forwarder.gossip
+    assert gossip.active_senders(1, 1, caller.now) == 10 and gossip.active_senders(1, 3, caller.now) == 4
+    assert gossip.active_senders(2, 1, caller.now) == 1
     caller.wait(WORK_EXPIRY_INTERVALS * MIN_WORK_INTERVAL_US + SECOND_US)
-    assert hearsay.active_senders(1, 1, caller.now) == 1  # a peer that died leaves nothing behind
+    assert gossip.active_senders(1, 1, caller.now) == 1  # the report of a peer that died has expired
     caller.wait(SILENCE_TIMEOUT_US)
-    assert hearsay.active_senders(1, 1, caller.now) is None  # and a fleet that is not heard is guessed at
+    assert gossip.active_senders(1, 1, caller.now) is None  # without any notes the fleet has to be estimated
     for _ in range(20):
         caller.accept()
     caller.wait(SECOND_US)
-    assert any(f.kind is FactKind.WORK and f.value > 1 for f in told(caller))
+    assert any(f.kind is FactKind.WORK and f.value > 1 for f in sent_facts(caller))
     for _ in range(40):
         for ref in {r for r, _ in caller.out}:
             caller.end(ref)
         caller.wait(SECOND_US)
-    assert told(caller)[-1] == Fact(FactKind.WORK, 1, 0)
+    assert sent_facts(caller)[-1] == Fact(FactKind.WORK, 1, 0)
 
 
 @pytest.mark.parametrize(
-    ("first", "then", "taken"), [(7, 8, True), (7, 7, False), (7, 6, False), (255, 0, True)]
+    ("first", "then", "accepted"), [(7, 8, True), (7, 7, False), (7, 6, False), (255, 0, True)]
 )
-def test_doubles_and_notes_that_were_overtaken_are_dropped(first: int, then: int, taken: bool) -> None:
-    hearsay = Gossip(FLEET)
-    hearsay.receive(3, Note(first, (Fact(FactKind.WORK, 1, 5),)), 0)
-    hearsay.receive(3, Note(then, (Fact(FactKind.WORK, 1, 2),)), 1)
-    assert hearsay.active_senders(1, 1, 2) == (3 if taken else 6)
-    assert hearsay.notes_dropped == (not taken)
+def test_duplicate_and_stale_notes_are_dropped(first: int, then: int, accepted: bool) -> None:
+    gossip = Gossip(FLEET)
+    gossip.receive(3, Note(first, (Fact(FactKind.WORK, 1, 5),)), 0)
+    gossip.receive(3, Note(then, (Fact(FactKind.WORK, 1, 2),)), 1)
+    assert gossip.active_senders(1, 1, 2) == (3 if accepted else 6)
+    assert gossip.notes_dropped == (not accepted)
 
 
-def test_a_sender_that_begins_again_is_heard_once_its_last_note_is_old() -> None:
-    hearsay = Gossip(FLEET)
-    hearsay.receive(3, Note(90, (Fact(FactKind.WORK, 1, 5),)), 0)
-    hearsay.receive(3, Note(1, (Fact(FactKind.WORK, 1, 2),)), SILENCE_TIMEOUT_US)
-    assert hearsay.active_senders(1, 1, SILENCE_TIMEOUT_US) == 3
+def test_notes_of_a_restarted_sender_are_accepted_after_the_silence_timeout() -> None:
+    gossip = Gossip(FLEET)
+    gossip.receive(3, Note(90, (Fact(FactKind.WORK, 1, 5),)), 0)
+    gossip.receive(3, Note(1, (Fact(FactKind.WORK, 1, 2),)), SILENCE_TIMEOUT_US)
+    assert gossip.active_senders(1, 1, SILENCE_TIMEOUT_US) == 3
 
 
 @pytest.mark.parametrize(
-    ("numbers", "heard"),
+    ("numbers", "informed"),
     [
         (range(0, 250), True),
         (range(0, 250, 4), False),  # three of four notes are lost
-        ([n + d for n in range(0, 250, 2) for d in (1, 0)], True),  # each second one is overtaken
+        ([n + d for n in range(0, 250, 2) for d in (1, 0)], True),  # every second note is reordered
     ],
 )
-def test_where_notes_are_lost_a_cold_endpoint_is_shared_with_all_likely_to_have_work(
-    numbers: Iterable[int], heard: bool
+def test_with_lost_notes_a_cold_endpoint_is_shared_with_all_senders_likely_to_hold_messages(
+    numbers: Iterable[int], informed: bool
 ) -> None:
-    """Each of 40 senders heard of hardly any work elsewhere: it took the whole budget for itself."""
+    """Each of 40 senders knew of hardly any held messages elsewhere and used the whole call budget."""
     caller = sender()
     caller.end(caller.accept(), Result.CONNECT_FAILED)
     caller.step(NoteReceived(9, Note(0, (Fact(FactKind.WORK, 2, 1),))))
-    caller.wait(
-        LISTEN_INTERVALS * caller.forwarder.gossip.work_interval_us
-    )  # who has just begun to listen knows of nobody
+    # Until then the sender counts as uninformed.
+    caller.wait(LISTEN_INTERVALS * caller.forwarder.gossip.work_interval_us)
     for number in numbers:
         for peer in range(1, 4):
             caller.step(NoteReceived(peer, Note(number, (Fact(FactKind.WORK, 2, 1),))))
@@ -180,96 +179,111 @@
     endpoint.ramp.tokens = 0.0
     caller.accept()
     caller.wait(round(SECOND_US / alone) + SECOND_US // 20)
-    assert (len(caller.out) == 1) is heard
+    assert (len(caller.out) == 1) is informed
 
 
-def test_a_return_that_is_heard_begins_the_slow_start_and_nothing_quicker() -> None:
+def test_a_reported_recovery_ends_the_outage_and_starts_the_slow_start() -> None:
     caller = sender()
     caller.end(caller.accept(), Result.CONNECT_FAILED)
     caller.wait(SECOND_US // 10)
     endpoint = caller.forwarder.endpoints["t1"]
     assert endpoint.out_since is not None
-    heard(caller, 1, Fact(FactKind.BACK, endpoint_digest("t1"), MAX_VALUE))  # older than our own failure
-    heard(caller, 2, Fact(FactKind.BACK, endpoint_digest("nobody")))
+    # This recovery is older than the own failure.
+    receive_note(caller, 1, Fact(FactKind.BACK, endpoint_digest("t1"), MAX_VALUE))
+    receive_note(caller, 2, Fact(FactKind.BACK, endpoint_digest("nobody")))
     assert endpoint.out_since is not None
-    heard(caller, 3, Fact(FactKind.BACK, endpoint_digest("t1")))
+    receive_note(caller, 3, Fact(FactKind.BACK, endpoint_digest("t1")))
     assert endpoint.out_since is None and endpoint.ramp_from == caller.now
 
 
 @pytest.mark.parametrize("peers", [2, 39, 60])
-def test_notes_cost_a_bounded_part_of_what_traffic_is_worth(peers: int) -> None:
+def test_notes_cost_at_most_a_fraction_of_the_value_of_the_traffic(peers: int) -> None:
     caller, accepted = sender(replicas=peers + 1), 300
     for ref in range(accepted):
         caller.step(Accept(ref + 1, "safe", 1, 20 * SECOND_US, "a"))
         for known in [r for r, _ in caller.out]:
             caller.end(known, Result.FULL)
         caller.wait(SECOND_US // 20)
-    spent = sum(len(encode_note(a.note)) for _, a in caller.log if isinstance(a, BroadcastNote))
-    assert 0 < spent * peers * 0.01 / 256 < 0.015 * accepted * 1.1
+    sent_bytes = sum(len(encode_note(a.note)) for _, a in caller.log if isinstance(a, BroadcastNote))
+    assert 0 < sent_bytes * peers * 0.01 / 256 < 0.015 * accepted * 1.1
 
 
-def test_of_many_some_tell_their_work_by_lot_and_all_what_is_urgent() -> None:
-    settings, told, spent = replace(FLEET, replicas=200), Counter[FactKind](), 0
+def test_in_a_large_fleet_a_random_subset_reports_held_messages_and_all_report_urgent_facts() -> None:
+    settings, sent_facts, sent_bytes = replace(FLEET, replicas=200), Counter[FactKind](), 0
     for sender_ in (Gossip(settings, (n + 0.5) / 200) for n in range(200)):
         for second in range(100):
             sender_.earn_budget()
             sender_.update_held(1, 2 ** (second % 9), 0)
             sender_.record_refusal(2, SECOND_US, False, False, second * SECOND_US)
             notes = [tell.note for tell in sender_.notes_to_send(second * SECOND_US)]
-            told.update({fact.kind for note in notes for fact in note.facts} if second == 99 else ())
-            spent += sum(len(encode_note(note)) for note in notes)
-    assert told[FactKind.WORK] <= 16 and told[FactKind.REFUSED] <= 200 and min(told.values()) > 0, told
-    assert 0 < spent * 199 * 0.01 / 256 < 0.015 * 200 * 100 * 1.1
-
-
-@pytest.mark.parametrize(("guess", "crowd"), [(1, 134), (200, 201), (400, 268)])
-def test_what_some_of_many_tell_stands_for_all_together_with_the_guess(guess: int, crowd: int) -> None:
-    """Who had just heard of no work took the whole pace: parts came to 5 times what there was."""
-    hearsay = Gossip(replace(FLEET, replicas=200))
-    for peer in range(8):  # of 16 in the mean, two messages each
-        hearsay.receive(peer, Note(1, (Fact(FactKind.WORK, 1, 2),)), 0)
-    believed = hearsay.active_senders(1, 1, 1, guess)
-    assert believed is not None and round(believed) == crowd
+            sent_facts.update({fact.kind for note in notes for fact in note.facts} if second == 99 else ())
+            sent_bytes += sum(len(encode_note(note)) for note in notes)
+    assert (
+        sent_facts[FactKind.WORK] <= 16
+        and sent_facts[FactKind.REFUSED] <= 200
+        and min(sent_facts.values()) > 0
+    ), sent_facts
+    assert 0 < sent_bytes * 199 * 0.01 / 256 < 0.015 * 200 * 100 * 1.1
+
+
+@pytest.mark.parametrize(("estimate", "expected_senders"), [(1, 134), (200, 201), (400, 268)])
+def test_in_a_large_fleet_the_reports_are_extrapolated_and_combined_with_the_estimate(
+    estimate: int, expected_senders: int
+) -> None:
+    """Senders that had received no report used the whole rate: the sum of all was 5 times the limit."""
+    gossip = Gossip(replace(FLEET, replicas=200))
+    for peer in range(8):  # 8 of 16 expected reporters, two messages each
+        gossip.receive(peer, Note(1, (Fact(FactKind.WORK, 1, 2),)), 0)
+    active = gossip.active_senders(1, 1, 1, estimate)
+    assert active is not None and round(active) == expected_senders
 
 
-told_notes = st.tuples(st.integers(0, 60), st.integers(0, 255), st.lists(facts, max_size=5))
+note_parameters = st.tuples(st.integers(0, 60), st.integers(0, 255), st.lists(facts, max_size=5))
 
 
-@given(st.lists(told_notes, max_size=30))
-def test_whatever_is_heard_only_slows_for_a_while(notes: list[tuple[int, int, list[Fact]]]) -> None:
-    """Absurd values and unknown names too: a call goes once what was believed has aged out."""
+@given(st.lists(note_parameters, max_size=30))
+def test_no_sequence_of_notes_delays_calls_beyond_the_expiry_of_its_facts(
+    notes: list[tuple[int, int, list[Fact]]],
+) -> None:
+    """Even after absurd values and unknown names, a call is sent once the received facts have expired."""
     caller = sender()
-    for peer, number, some in notes:
-        caller.step(NoteReceived(peer, Note(number, tuple(some))))
-    caller.wait(25 * SECOND_US)  # the longest a wait is believed is the longest time that a message has
+    for peer, number, facts_of_note in notes:
+        caller.step(NoteReceived(peer, Note(number, tuple(facts_of_note))))
+    caller.wait(25 * SECOND_US)  # a received wait is limited to the longest deadline
     caller.accept()
     caller.wait(20 * SECOND_US)
     assert any(isinstance(a, Send) for _, a in caller.log)
 
 
-def test_the_port_takes_notes_of_peers_and_drops_the_rest(caplog: pytest.LogCaptureFixture) -> None:
-    asyncio.run(between(caplog))
+def test_the_port_accepts_notes_of_peers_and_drops_other_datagrams(caplog: pytest.LogCaptureFixture) -> None:
+    asyncio.run(check_peer_port(caplog))
 
 
-async def between(caplog: pytest.LogCaptureFixture) -> None:
-    peer, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-    for each in (peer, stranger):
+async def check_peer_port(caplog: pytest.LogCaptureFixture) -> None:
+    peer, unknown_sender = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
+    for each in (peer, unknown_sender):
         each.bind(("127.0.0.1", 0))
     got: asyncio.Queue[tuple[int, Note]] = asyncio.Queue()
-    own = ("127.0.0.1", free_port())
-    there = peer.getsockname()
-    port = PeerPort(own, [own, there], there, lambda n, note: got.put_nowait((n, note)), lambda: 0)
+    own_address = ("127.0.0.1", free_port())
+    peer_address = peer.getsockname()
+    port = PeerPort(
+        own_address,
+        [own_address, peer_address],
+        peer_address,
+        lambda n, note: got.put_nowait((n, note)),
+        lambda: 0,
+    )
     port.open()
     try:
         note = Note(4, (Fact(FactKind.WORK, 7, 2),))
-        stranger.sendto(encode_note(note), own)
-        peer.sendto(b"noise", own)
-        peer.sendto(b"x" * 400, own)
-        peer.sendto(encode_note(note), own)
+        unknown_sender.sendto(encode_note(note), own_address)
+        peer.sendto(b"noise", own_address)
+        peer.sendto(b"x" * 400, own_address)
+        peer.sendto(encode_note(note), own_address)
         assert await asyncio.wait_for(got.get(), 5) == (1, note)
-        for number in range(100):  # a flood from a peer: its clock stands still here
-            peer.sendto(encode_note(Note(number, note.facts)), own)
-        peer.sendto(b"the last", own)
+        for number in range(100):  # more notes than allowed: the port's clock does not advance in this test
+            peer.sendto(encode_note(Note(number, note.facts)), own_address)
+        peer.sendto(b"the last", own_address)
         async with asyncio.timeout(5):
             while port.dropped < 3 + 101 - (EACH_MOST - 3):
                 await asyncio.sleep(0.01)
@@ -280,7 +294,7 @@
     finally:
         port.close()
         peer.close()
-        stranger.close()
+        unknown_sender.close()
 
 
 def free_port() -> int:
@@ -291,10 +305,11 @@
 
 
 @pytest.mark.parametrize(
-    ("replicas", "peers", "there"), [(2, True, True), (1, True, False), (40, False, False), (200, True, True)]
+    ("replicas", "peers", "enabled"),
+    [(2, True, True), (1, True, False), (40, False, False), (200, True, True)],
 )
-def test_no_port_is_taken_where_nothing_is_told(replicas: int, peers: bool, there: bool) -> None:
+def test_no_port_is_opened_if_no_notes_are_exchanged(replicas: int, peers: bool, enabled: bool) -> None:
     settings = replace(FLEET, replicas=replicas, peers=peers)
     doc = {"peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.2:7946"], "peers_all": "127.0.0.3:7946"}
-    assert (_peers(doc, settings) is not None) is Gossip(settings).enabled is there
+    assert (_peers(doc, settings) is not None) is Gossip(settings).enabled is enabled
     assert _peers({}, settings) is None
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README runs as printed."""
+"""The example in the README runs and prints the output shown there."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 
-def test_the_example_runs() -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
-    code, shown = re.findall(r"```(?:python|text)\n(.*?)```", text, re.DOTALL)[:2]
-    ran = subprocess.run(
+def test_the_example_prints_the_output_shown() -> None:
+    readme = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
+    code, expected_output = re.findall(r"```(?:python|text)\n(.*?)```", readme, re.DOTALL)[:2]
+    completed = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=False
     )
-    assert ran.stderr == "" and ran.stdout == shown
+    assert completed.stderr == "" and completed.stdout == expected_output
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -59,9 +59,9 @@
         caller.end(ref, result)
         caller.wait(10 * SECOND_US)
         if result in (Result.FULL, Result.CONNECT_FAILED):
-            assert caller.legs[ref] > 1, result
+            assert caller.attempts_sent[ref] > 1, result
         else:
-            assert caller.ended[ref] == "Fail" and caller.legs[ref] == 1, result
+            assert caller.ended[ref] == "Fail" and caller.attempts_sent[ref] == 1, result
 
 
 def test_keyed_goes_again_only_while_the_key_lives() -> None:
@@ -201,7 +201,7 @@
             cls = BASE.classes[cls_of[action.ref]]
             assert action.ref not in caller.ended and action.target not in gone
             assert not caller.is_out(action.ref)
-            assert caller.legs.get(action.ref, 0) < 4
+            assert caller.attempts_sent.get(action.ref, 0) < 4
             assert now >= waits.get(action.target if kind == "apart" else "all", 0)
             if action.ref in ran:
                 assert cls.effect is not Effect.UNSAFE
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Stay in the own zone where leaving it is priced, as far as each endpoint then has an even part."""
+"""Calls stay in the own zone where leaving it costs extra, as far as all endpoints get equal load."""
 
 from __future__ import annotations
 
@@ -11,29 +11,31 @@
 from rowanspindle.zones import call_shares
 from tests.helpers import BASE, SECOND_US, Caller, member
 
-PRICED = {"zone": "a", "zones": 2, "crossing_price": 0.084, "replicas": 200}
+CROSSING_PRICED = {"zone": "a", "zones": 2, "crossing_price": 0.084, "replicas": 200}
 
 
 @pytest.mark.parametrize(
-    ("zones", "count", "crossing"),
+    ("zones", "count", "expected_crossing"),
     [("ab", 2, 0.0), ("aab", 2, 1 / 6), ("aaaab", 2, 0.3), ("abc", 3, 0.0), ("ab", 3, 1 / 3),
      ("aabbbc", 3, 1 / 6), ("aaa", 2, 0.5), ("abc", 1, 0.0)],
 )  # fmt: skip
-def test_all_zones_together_load_each_endpoint_alike_and_cross_as_little_as_may_be(
-    zones: str, count: int, crossing: float
+def test_all_endpoints_get_equal_load_with_the_fewest_calls_between_zones(
+    zones: str, count: int, expected_crossing: float
 ) -> None:
     senders = "abc"[: max(count, len(set(zones)))]
-    load, crossed = defaultdict[str, float](float), 0.0
-    for own in senders:
-        for zone, part in call_shares(zones, own, count).items():
-            load[zone] += part / len(senders)
-            crossed += part * zones.count(zone) / len(zones) / len(senders) * (zone != own)
+    load, crossing_share = defaultdict[str, float](float), 0.0
+    for own_zone in senders:
+        for zone, calls_per_endpoint in call_shares(zones, own_zone, count).items():
+            load[zone] += calls_per_endpoint / len(senders)
+            crossing_share += (
+                calls_per_endpoint * zones.count(zone) / len(zones) / len(senders) * (zone != own_zone)
+            )
     assert all(load[zone] == pytest.approx(1.0) for zone in zones), load
-    assert crossed == pytest.approx(crossing)
+    assert crossing_share == pytest.approx(expected_crossing)
 
 
-def called(caller: Caller, calls: int = 60) -> Counter[str]:
-    """The zones called, one call after the other."""
+def count_calls_by_zone(caller: Caller, calls: int = 60) -> Counter[str]:
+    """Make calls one after the other and count them by the zone called."""
     before = len(caller.sends())
     for _ in range(calls):
         caller.end(caller.accept(), latency_us=50_000)
@@ -42,25 +44,27 @@
 
 
 @pytest.mark.parametrize(
-    ("targets", "changes", "least", "most"),
+    ("targets", "changes", "min_calls", "max_calls"),
     [
-        ("a1 b1", {}, 60, 60),  # its own only
+        ("a1 b1", {}, 60, 60),  # own zone only
         ("a1 b1", {"crossing_price": 0.0}, 15, 45),
         ("a1 b1 b2", {"zone": ""}, 12, 28),
-        ("a1 b1 b2", {}, 36, 44),  # two in three: the rest of an even part goes where there is room
+        ("a1 b1 b2", {}, 36, 44),  # two thirds: the other calls go to the zone below an even share
         ("b1 b2", {}, 0, 0),
     ],
 )
-def test_a_sender_stays_in_its_zone_as_far_as_that_is_even(
-    targets: str, changes: dict[str, object], least: int, most: int
+def test_a_sender_calls_its_own_zone_up_to_an_even_share_of_each_endpoint(
+    targets: str, changes: dict[str, object], min_calls: int, max_calls: int
 ) -> None:
     listed = (member(name, zone=name[0]) for name in targets.split())
-    assert least <= called(Caller(*listed, **{**PRICED, **changes}))["a"] <= most
+    assert (
+        min_calls <= count_calls_by_zone(Caller(*listed, **{**CROSSING_PRICED, **changes}))["a"] <= max_calls
+    )
 
 
-def test_another_zone_takes_what_the_own_one_cannot() -> None:
-    caller = Caller(*(member(t, zone=t[0], weight=400.0) for t in ("a1", "b1")), **PRICED)
-    for _ in range(4):  # none is answered: two calls out weigh more than the price
+def test_another_zone_gets_the_calls_that_the_own_zone_cannot_take() -> None:
+    caller = Caller(*(member(t, zone=t[0], weight=400.0) for t in ("a1", "b1")), **CROSSING_PRICED)
+    for _ in range(4):  # without answers: two calls in flight outweigh the price
         caller.accept()
     assert [send.target for _, send in caller.sends()] == ["a1", "a1", "a1", "b1"]
     for ref in range(1, 5):
@@ -68,11 +72,11 @@
     caller.step(
         EndpointListUpdate(UpdateScope.DELTA, (member("a1", zone="a", status=EndpointStatus.DRAINING),))
     )
-    assert called(caller, 3) == {"b": 3}
+    assert count_calls_by_zone(caller, 3) == {"b": 3}
 
 
-def test_the_parts_follow_the_list() -> None:
-    forwarder = Forwarder(replace(BASE, **PRICED), 1)  # type: ignore[arg-type]
+def test_shares_are_recomputed_when_the_endpoint_list_changes() -> None:
+    forwarder = Forwarder(replace(BASE, **CROSSING_PRICED), 1)  # type: ignore[arg-type]
     for now, listed, share in [(0, "b1", 1.0), (1, "a1 b1", 0.0), (2, "a1 b1 b2", 0.5), (3, "b1 b2", 1.0)]:
         members = tuple(member(name, zone=name[0]) for name in listed.split())
         forwarder.decide(now, [EndpointListUpdate(UpdateScope.FULL, members)])
@@ -82,9 +86,9 @@
     assert forwarder.endpoints["b1"].share == 0.0
 
 
-def test_a_destination_whose_last_endpoint_moves_is_forgotten() -> None:
-    """Its shares were dealt out anew, and that brought it back, empty, for good."""
-    forwarder = Forwarder(replace(BASE, **PRICED), 1)  # type: ignore[arg-type]
+def test_a_destination_whose_last_endpoint_moves_away_is_forgotten() -> None:
+    """Assigning its shares again recreated the empty destination, which then stayed forever."""
+    forwarder = Forwarder(replace(BASE, **CROSSING_PRICED), 1)  # type: ignore[arg-type]
     for dest in (1, 2):
         forwarder.decide(dest, [EndpointListUpdate(UpdateScope.FULL, (member("b1", dest=dest, zone="b"),))])
     assert list(forwarder.destinations) == [2]
