--- a/rowanspindle/api.py
+++ b/rowanspindle/api.py
@@ -74,7 +74,7 @@
         if self.key_ttl_us < 0:
             raise ValueError(f"key_ttl_us of class {self.name}: must not be negative")
 
-    def worth_at(self, late_us: int, halves: bool) -> float:
+    def value_at(self, late_us: int, halves: bool) -> float:
         """Return the value of a message that is delivered `late_us` after its target time.
 
         The value is exponential in the lateness if `halves` is set and linear otherwise.
@@ -129,9 +129,8 @@
     fall_us: int = 2_000_000
     overload_factor: float = 2.0
     key_rest_us: int = 0
-    zone_fees: dict[str, float] = dataclasses.field(
-        default_factory=dict
-    )  # points per message at destinations with `apart`, by zone
+    # Points per message, by zone, for kinds with `apart`.
+    zone_fees: dict[str, float] = dataclasses.field(default_factory=dict)
     reports: tuple[str, ...] = ()  # the fields that a load report in an answer may contain
 
     def __post_init__(self) -> None:
--- a/rowanspindle/data_structures.py
+++ b/rowanspindle/data_structures.py
@@ -76,7 +76,7 @@
 
 
 class PriorityQueue(Generic[KeyT]):
-    """A queue of keys by score, the lowest first, the key breaking ties.
+    """A queue of keys by score, the lowest first. Ties are broken by the order of setting.
 
     Each score was correct when it was set. The caller refreshes scores that change with time: those of the
     first few keys and the oldest ones.
@@ -161,19 +161,19 @@
     def __getitem__(self, index: int) -> ItemT:
         return self._items[index][2]
 
-    def add(self, at: int, tie: int, item: ItemT) -> None:
-        """Insert an item; `tie` is unique and orders items of the same time."""
+    def add(self, at: int, tie_breaker: int, item: ItemT) -> None:
+        """Insert an item; `tie_breaker` is unique and orders items of the same time."""
         items = self._items
-        if not items or items[-1][:2] < (at, tie):
-            items.append((at, tie, item))
+        if not items or items[-1][:2] < (at, tie_breaker):
+            items.append((at, tie_breaker, item))
         else:
-            items.insert(bisect_left(items, (at, tie)), (at, tie, item))
+            items.insert(bisect_left(items, (at, tie_breaker)), (at, tie_breaker, item))
 
-    def remove(self, at: int, tie: int) -> None:
-        """Remove the item with that time and tie. Raises KeyError if there is none."""
-        index = bisect_left(self._items, (at, tie))
-        if index == len(self._items) or self._items[index][:2] != (at, tie):
-            raise KeyError((at, tie))
+    def remove(self, at: int, tie_breaker: int) -> None:
+        """Remove the item with that time and tie-breaker. Raises KeyError if there is none."""
+        index = bisect_left(self._items, (at, tie_breaker))
+        if index == len(self._items) or self._items[index][:2] != (at, tie_breaker):
+            raise KeyError((at, tie_breaker))
         del self._items[index]
 
     def before(self, at: int) -> int:
--- a/rowanspindle/gossip.py
+++ b/rowanspindle/gossip.py
@@ -62,7 +62,7 @@
 class Gossip:
     """One sender's part in the gossip.
 
-    `random_draw` lies in 0 to 1 and decides whether this sender belongs to the subset that reports its work.
+    `random_draw`, between 0 and 1, decides whether this sender is in the subset that reports its work.
     """
 
     def __init__(self, settings: Settings, random_draw: float = 0.0) -> None:
@@ -172,12 +172,12 @@
         self._next_work_at = now + self.work_interval_us
         work = [Fact(FactKind.WORK, dest) for dest in self._reported if dest not in self._held]
         for dest, (held, since) in self._held.items():
-            reported, at = self._reported.get(dest, (0, now))
+            reported, last_at = self._reported.get(dest, (0, now))
             waited = now - since >= MIN_WORK_AGE_US
             if waited and (
                 not reported
                 or not reported < 2 * held < 4 * reported
-                or now - at >= REFRESH_INTERVALS * self.work_interval_us
+                or now - last_at >= REFRESH_INTERVALS * self.work_interval_us
             ):
                 work.append(Fact(FactKind.WORK, dest, min(held, MAX_VALUE)))
         return work
@@ -203,19 +203,21 @@
         """Take in a note and return its facts; none if it is a duplicate or older than the last note."""
         if not self.enabled:
             return ()
-        last, at = self._last_notes.get(peer, (note.number, now - SILENCE_TIMEOUT_US))
-        if now - at < SILENCE_TIMEOUT_US and not 0 < (note.number - last) % SEQUENCE_NUMBERS < STALE_DISTANCE:
+        last_number, last_at = self._last_notes.get(peer, (note.number, now - SILENCE_TIMEOUT_US))
+        if (
+            now - last_at < SILENCE_TIMEOUT_US
+            and not 0 < (note.number - last_number) % SEQUENCE_NUMBERS < STALE_DISTANCE
+        ):
             self.notes_dropped += 1
-            self._notes_arrived += note.number != last  # reordered, not lost
+            self._notes_arrived += note.number != last_number  # reordered, not lost
             return ()
         silent = self._last_received_at is not None and now - self._last_received_at >= SILENCE_TIMEOUT_US
         if silent or self._last_received_at is None:
             self._listening_since = now
         if silent:
-            self._notes_expected = self._notes_arrived = (
-                INITIAL_NOTES_COUNT  # earlier losses say nothing about the present
-            )
-        sent = (note.number - last) % SEQUENCE_NUMBERS if now - at < SILENCE_TIMEOUT_US else 1
+            # Losses before the silence say nothing about the present.
+            self._notes_expected = self._notes_arrived = INITIAL_NOTES_COUNT
+        sent = (note.number - last_number) % SEQUENCE_NUMBERS if now - last_at < SILENCE_TIMEOUT_US else 1
         self._notes_expected = self._notes_expected * LOSS_DECAY_FACTOR + (
             sent if sent <= MAX_SEQUENCE_GAP else 1
         )
@@ -258,14 +260,15 @@
 
         It is unknown where many notes are lost: most senders would be missing from the sum, and each would
         use the whole call budget of a cold endpoint.
-        Where only a subset reports, `estimate` (the held messages of all senders as a multiple of the own)
-        counts too. Otherwise a sender that has received no report yet would use the whole rate.
+        Where only a subset reports, `estimate`, the estimated number of senders with held messages, this one
+        included, counts too, with one message per sender. Otherwise a sender that has received no report yet
+        would use the whole rate.
         """
         if self._last_received_at is None or now - self._last_received_at >= SILENCE_TIMEOUT_US or self.lossy:
             return None
-        for known, peer in self._work_expiry.due(now):
-            if peer in self._peer_work.get(known, ()):
-                self._set_peer_work(known, peer, 0)
+        for expired_dest, peer in self._work_expiry.due(now):
+            if peer in self._peer_work.get(expired_dest, ()):
+                self._set_peer_work(expired_dest, peer, 0)
         own, others = max(1, held), float(self._peer_work_totals.get(dest, 0))
         if self._reporting_fraction < 1:
             others = (
--- a/rowanspindle/held_messages.py
+++ b/rowanspindle/held_messages.py
@@ -42,7 +42,7 @@
 
     def value(self, at: int, halves: bool) -> float:
         """Return the value of this message if it were delivered at that time."""
-        return 0.0 if at > self.deadline else self.share * self.cls.worth_at(at - self.aim_at, halves)
+        return 0.0 if at > self.deadline else self.share * self.cls.value_at(at - self.aim_at, halves)
 
     def group_for(self, in_turn: bool) -> MessageGroup:
         """Return its group. Value and urgency of the messages of a group differ by the deadline alone."""
--- a/rowanspindle/list_watch.py
+++ b/rowanspindle/list_watch.py
@@ -10,7 +10,7 @@
 SECOND_US = 1_000_000
 INITIAL_RETRY_S = 1.0  # first back-off after a failed watch; doubles up to a quarter of `ask_within_us`
 # The longest back-off, which the jitter extends to 3.5 s. With 2 s for a request that is lost before or after
-# it, a change is known within 6 s, after which it counts as told, however long `ask_within_us` is.
+# it, a change is known within 6 s, after which senders count as informed, however long `ask_within_us` is.
 MAX_RETRY_S = 2.8
 MIN_RETRY_S = 0.1  # the shortest back-off, however short `ask_within_us` is
 JITTER_FRACTION = 0.25  # random part added to the back-off
--- a/rowanspindle/wire.py
+++ b/rowanspindle/wire.py
@@ -199,12 +199,12 @@
 
 def parse_accept(line: str) -> Event:
     """Parse a new message."""
-    ref, cls, _hint, dest, tenant, _bits, left, key = split_values(line, 8)
+    ref, cls, _hint, dest, tenant, _bits, left_us, key = split_values(line, 8)
     return Accept(
         parse_int(ref),
         cls,
         parse_int(dest),
-        parse_int(left),
+        parse_int(left_us),
         parse_optional_word(tenant),
         parse_optional_word(key),
     )
@@ -212,7 +212,7 @@
 
 def parse_outcome(line: str) -> Event:
     """Parse the end of an attempt."""
-    ref, attempt_number, target, result_word, latency, ended_flag, wait_ms, load_report = split_values(
+    ref, attempt_number, target, result_word, latency_us, ended_flag, wait_ms, load_report = split_values(
         line, 8
     )
     result = lookup(RESULTS, result_word, "outcome")
@@ -228,7 +228,7 @@
         parse_int(attempt_number),
         target,
         result,
-        parse_int(latency),
+        parse_int(latency_us),
         ended_flag == "1",
         wait_us,
         report.get("x0"),
--- a/rowanspindle/zones.py
+++ b/rowanspindle/zones.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 
-class Route(Protocol):
+class ZonedEndpoint(Protocol):
     """The attributes of an endpoint that this module needs."""
 
     zone: str
@@ -52,11 +52,11 @@
     }
 
 
-def assign_shares(routes: Sequence[Route], own_zone: str, zone_count: int, turn: float) -> None:
+def assign_shares(endpoints: Sequence[ZonedEndpoint], own_zone: str, zone_count: int, turn: float) -> None:
     """Set the shares of all endpoints of a destination, keeping the order of their turns after `turn`."""
-    if not routes:
+    if not endpoints:
         return
-    shares = call_shares((route.zone for route in routes), own_zone, zone_count)
-    for route in routes:
-        previous_stride, route.share = route.stride, shares[route.zone]
-        route.turn = turn + (route.turn - turn) * route.stride / previous_stride
+    shares = call_shares((endpoint.zone for endpoint in endpoints), own_zone, zone_count)
+    for endpoint in endpoints:
+        previous_stride, endpoint.share = endpoint.stride, shares[endpoint.zone]
+        endpoint.turn = turn + (endpoint.turn - turn) * endpoint.stride / previous_stride
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -215,7 +215,7 @@
             sender_.earn_budget()
             sender_.update_held(1, 2 ** (second % 9), 0)
             sender_.record_refusal(2, SECOND_US, False, False, second * SECOND_US)
-            notes = [tell.note for tell in sender_.notes_to_send(second * SECOND_US)]
+            notes = [action.note for action in sender_.notes_to_send(second * SECOND_US)]
             sent_facts.update({fact.kind for note in notes for fact in note.facts} if second == 99 else ())
             sent_bytes += sum(len(encode_note(note)) for note in notes)
     assert (
