--- a/rowanspindle/data_structures.py
+++ b/rowanspindle/data_structures.py
@@ -269,7 +269,7 @@
     """A rate estimated from events with exponential decay; the initial rate counts as `weight` events."""
 
     def __init__(self, now: int, memory_s: float, weight: float) -> None:
-        self.count, self.span, self.at = 0.0, 0.0, now
+        self.count, self.span_s, self.at = 0.0, 0.0, now
         self._memory_s, self._weight = memory_s, weight
 
     def rate(self, now: int, initial_rate: float) -> float:
@@ -279,5 +279,5 @@
         """
         elapsed_s = max(0, now - self.at) / 1_000_000
         decay = math.exp(-elapsed_s / self._memory_s)
-        self.count, self.span, self.at = self.count * decay, self.span * decay + elapsed_s, now
-        return (self.count + self._weight) / (self.span + self._weight / initial_rate)
+        self.count, self.span_s, self.at = self.count * decay, self.span_s * decay + elapsed_s, now
+        return (self.count + self._weight) / (self.span_s + self._weight / initial_rate)
