--- a/rowanrack/net/__init__.py
+++ b/rowanrack/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: byte streams with bounded rings, HTTP by h11, and the pool of connections to instances."""
+"""Network I/O: byte streams with bounded buffers, HTTP/1.1 by h11, and the connection pool to endpoints."""
--- a/rowanrack/net/fair_scheduling.py
+++ b/rowanrack/net/fair_scheduling.py
@@ -1,11 +1,11 @@
-"""The loop's turns: which of the connections that stand ready are served in each, and in which order.
-
-asyncio serves everything that is ready in one turn, so that with hundreds of clients at once a turn takes
-hundreds of milliseconds, and partners' answers, confirmations and timers wait for all of it. Here a turn
-takes all of our own connections first, then a bounded number of clients' ones, those that have waited longest
-first. Clients without a good request yet come by what they have used so far, so that new ones pass those that
-send a request by single bytes, and get less than the others once they use more than their share of a full
-core.
+"""Fair scheduling of ready connections: which are served in an event loop iteration, and in which order.
+
+asyncio serves everything that is ready in one iteration. With hundreds of clients at once an iteration would
+take hundreds of milliseconds, and answers of endpoints, confirmations and timers would wait for all of it.
+The selector here returns all internal connections first, then a bounded number of client connections, those
+that have waited longest first. New clients (without a good request yet) are ordered by the CPU time that they
+have used, so that fresh ones pass those that send a request byte by byte. Fewer of them are served per
+iteration once they use more than their share of a full core.
 """
 
 from __future__ import annotations
@@ -16,103 +16,112 @@
 from enum import IntEnum
 from typing import Any, Protocol
 
-CLIENTS = 16  # connections of usual clients, and as many new ones, that are served in a turn
-FEW = 4  # new ones while strangers use more than their share
+MAX_CLIENTS_PER_ITERATION = 16  # for clients with a good request and for new clients, each
+MAX_NEW_CLIENTS_OVER_SHARE = 4  # while new clients use more than their share
 
-STEP_US = 500  # of time used, by which new ones are told apart
+USED_TIME_STEP_US = 500  # new clients are ordered by CPU time used, in steps of this size
 
-Ready = list[tuple[selectors.SelectorKey, int]]
+ReadyEvents = list[tuple[selectors.SelectorKey, int]]
 
 
 class ConnectionPriority(IntEnum):
-    """Whose connection it is."""
+    """Scheduling priority of a connection; the lowest value is served first."""
 
-    INTERNAL = 0  # to instances, discovery and the platform; listening ports; the console
+    INTERNAL = 0  # to endpoints, discovery and the platform; listening sockets; the console
     CLIENT = 1
     NEW_CLIENT = 2  # a client without a good request so far
 
 
 class DelayMonitor(Protocol):
-    """What `rowanrack.load.load_shedder.LoadShedder` knows of time."""
+    """The part of `rowanrack.load.load_shedder.LoadShedder` that deals with delays."""
 
     def record_delay(self, now_us: int, late_us: int) -> None:
-        """Something ran so late."""
+        """Record that something ran this late."""
 
     def pace_us(self, now_us: int) -> int:
-        """More than 0 while strangers use more than their share."""
+        """Return more than 0 while new clients use more than their share of the CPU."""
 
 
 class FairSelector(selectors.EpollSelector):
-    """A selector that knows the rank of each connection; one without a rank is ours."""
+    """A selector with a priority for each connection; connections without one are internal."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.keeper: DelayMonitor | None = None
-        self._ranks: dict[int, ConnectionPriority] = {}
-        self._used: dict[int, int] = {}  # by strangers, in steps
-        self._since: dict[
+        self.delay_monitor: DelayMonitor | None = None
+        self._priorities: dict[int, ConnectionPriority] = {}
+        self._used_steps: dict[int, int] = {}  # by new clients, in steps of USED_TIME_STEP_US
+        self._deferred_since: dict[
             int, float
-        ] = {}  # ready connections that were left for a later turn, and since when
+        ] = {}  # monotonic time since when a deferred connection has been ready
 
-    def rank(self, descriptor: int, rank: ConnectionPriority, used_us: float = 0.0) -> None:
-        """Set the rank of a connection and what it has used, until it is not watched any more."""
-        self._ranks[descriptor] = rank
-        self._used[descriptor] = int(used_us) // STEP_US
+    def set_priority(self, descriptor: int, priority: ConnectionPriority, used_us: float = 0.0) -> None:
+        """Set the priority of a connection and the CPU time that it has used, until it is unregistered."""
+        self._priorities[descriptor] = priority
+        self._used_steps[descriptor] = int(used_us) // USED_TIME_STEP_US
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        """Guards a descriptor that comes again for something else against the old one's rank."""
+        """Unregister, and forget the priority, so that a reused descriptor does not inherit it."""
         key = super().unregister(fileobj)
-        self._ranks.pop(key.fd, None)
-        self._used.pop(key.fd, None)
-        self._since.pop(key.fd, None)
+        self._priorities.pop(key.fd, None)
+        self._used_steps.pop(key.fd, None)
+        self._deferred_since.pop(key.fd, None)
         return key
 
-    def select(self, timeout: float | None = None) -> Ready:
-        """Those to be served in this turn."""
+    def select(self, timeout: float | None = None) -> ReadyEvents:
+        """Return the events to be handled in this event loop iteration."""
         ready = super().select(timeout)
-        if len(ready) <= FEW and not self._since:
+        if len(ready) <= MAX_NEW_CLIENTS_OVER_SHARE and not self._deferred_since:
             return ready
-        return self._turn(ready, time.monotonic())
+        return self._select_fairly(ready, time.monotonic())
 
-    def _turn(self, ready: Ready, now: float) -> Ready:
-        ours: Ready = []
-        clients: Ready = []
-        strangers: Ready = []
-        queues = (ours, clients, strangers)
+    def _select_fairly(self, ready: ReadyEvents, now: float) -> ReadyEvents:
+        internal: ReadyEvents = []
+        clients: ReadyEvents = []
+        new_clients: ReadyEvents = []
+        queues = (internal, clients, new_clients)
         for item in ready:
-            queues[self._ranks.get(item[0].fd, ConnectionPriority.INTERNAL)].append(item)
-        since, self._since = self._since, {}
-        oldest = self._cut(clients, CLIENTS, since, now)
-        pressing = (
-            len(strangers) > FEW and self.keeper is not None and self.keeper.pace_us(int(now * 1e6)) > 0
+            queues[self._priorities.get(item[0].fd, ConnectionPriority.INTERNAL)].append(item)
+        deferred_since, self._deferred_since = self._deferred_since, {}
+        longest_wait_s = self._trim(clients, MAX_CLIENTS_PER_ITERATION, deferred_since, now)
+        over_share = (
+            len(new_clients) > MAX_NEW_CLIENTS_OVER_SHARE
+            and self.delay_monitor is not None
+            and self.delay_monitor.pace_us(int(now * 1e6)) > 0
         )
-        # While some have had turns and want more, it is strangers who are in each other's way.
-        theirs = pressing or any(self._used.get(key.fd) for key, _ in strangers)
-        waited = self._cut(strangers, FEW if pressing else CLIENTS, since, now)
-        if not theirs:
-            oldest = max(oldest, waited)
-        if oldest and self.keeper is not None:
-            self.keeper.record_delay(int(now * 1e6), int(oldest * 1e6))
-        return ours + clients + strangers
-
-    def _cut(self, queue: Ready, most: int, since: dict[int, float], now: float) -> float:
-        """Leave in a queue those that are served now; returns for how long one of them has waited, in s."""
-        if len(queue) > most:
-            queue.sort(key=lambda item: (self._used.get(item[0].fd, 0), since.get(item[0].fd, now)))
-            for key, _ in queue[most:]:
-                self._since[key.fd] = since.get(key.fd, now)
-            del queue[most:]
-        return max((now - since.get(key.fd, now) for key, _ in queue), default=0.0)
+        # If some new clients have used CPU time already, new clients delay each other: the core is not late.
+        new_clients_compete = over_share or any(self._used_steps.get(key.fd) for key, _ in new_clients)
+        new_client_wait_s = self._trim(
+            new_clients,
+            MAX_NEW_CLIENTS_OVER_SHARE if over_share else MAX_CLIENTS_PER_ITERATION,
+            deferred_since,
+            now,
+        )
+        if not new_clients_compete:
+            longest_wait_s = max(longest_wait_s, new_client_wait_s)
+        if longest_wait_s and self.delay_monitor is not None:
+            self.delay_monitor.record_delay(int(now * 1e6), int(longest_wait_s * 1e6))
+        return internal + clients + new_clients
+
+    def _trim(self, queue: ReadyEvents, limit: int, deferred_since: dict[int, float], now: float) -> float:
+        """Keep in a queue what is served now, defer the rest; return the longest wait of those kept, in s."""
+        if len(queue) > limit:
+            queue.sort(
+                key=lambda item: (self._used_steps.get(item[0].fd, 0), deferred_since.get(item[0].fd, now))
+            )
+            for key, _ in queue[limit:]:
+                self._deferred_since[key.fd] = deferred_since.get(key.fd, now)
+            del queue[limit:]
+        return max((now - deferred_since.get(key.fd, now) for key, _ in queue), default=0.0)
 
 
 class FairLoop(asyncio.SelectorEventLoop):
-    """asyncio's loop with such turns."""
+    """asyncio's event loop with a `FairSelector`."""
 
     def __init__(self) -> None:
-        self.turns = FairSelector()
-        super().__init__(self.turns)
+        self.fair_selector = FairSelector()
+        super().__init__(self.fair_selector)
 
 
 def fair_selector_of(loop: asyncio.AbstractEventLoop) -> FairSelector | None:
-    """The turns of a loop; None for one that takes all as it comes."""
-    return loop.turns if isinstance(loop, FairLoop) else None
+    """Return the fair selector of a loop, or None if the loop has another selector."""
+    return loop.fair_selector if isinstance(loop, FairLoop) else None
--- a/rowanrack/net/listener.py
+++ b/rowanrack/net/listener.py
@@ -1,7 +1,7 @@
-"""A listening port and its connections: what the fronts' servers have in common.
+"""A listening port and its connections: the base class of the servers of all fronts.
 
-What guards against bad clients stands here, once for all fronts: a limit on connections that silent ones
-cannot use up, a time limit for a request that does not come whole, and a parting that lets the last answer
+The protection against bad clients is implemented here, once for all fronts: a connection limit that silent
+clients cannot exhaust, a time limit for incomplete requests, and a graceful close that lets the last answer
 arrive.
 """
 
@@ -28,63 +28,66 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that wait in the kernel until there is room for them
-OWED_US = 2_000_000  # for a request's first byte from a connection's opening, and for the rest from there
-REST_US = 500_000  # for which a new connection may rest ahead of its first byte at no cost to its request
-FIRST_US = 1_000_000  # for the first byte once this sender leaves, from the opening of a connection
-IDLE_US = 60_000_000  # for which a connection may stand between requests
-EVER_US = 1 << 62
-LOOK_US = 250_000  # between looks at these limits
-SPARED_US = 200_000  # a connection that owes a request so long may have to make room for another
-KEPT_US = 250_000  # and one between requests after so long, the one that is unused longest first
-CROWDED = 0.4  # part of all connections from which idle ones are closed ahead of need
-AT_ONCE = 16  # connections that are taken in one turn of the loop
-PIECES_US = 200_000  # for which a request that comes in small pieces is left to the kernel
-FULL_US = 20_000  # between looks for room
-CONNECTION_US = 60.0  # that the loop itself uses for a connection, from its transport to its end: measured
-LINGER_US = 1_000_000  # for which a connection stays after its last answer, for the client to close it
-LINGER_BYTES = 1 << 20  # read and dropped meanwhile
+LISTEN_BACKLOG_COUNT = 1024  # connections that wait in the kernel until there is room
+# From the opening of a connection to the first byte of a request, and from there to its last byte.
+REQUEST_TIMEOUT_US = 2_000_000
+# The time for the rest of a request starts at its first byte, at the latest this long after the opening.
+FIRST_BYTE_GRACE_US = 500_000
+# From the opening of a connection to its first byte, once the port drains or is in lame duck.
+LEAVING_FIRST_BYTE_TIMEOUT_US = 1_000_000
+IDLE_TIMEOUT_US = 60_000_000  # between requests
+NO_TIMEOUT_US = 1 << 62
+TIMEOUT_CHECK_INTERVAL_US = 250_000
+REQUEST_EVICTION_AGE_US = 200_000  # a connection that waits for (the rest of) a request may be evicted then
+IDLE_EVICTION_AGE_US = 250_000  # a connection that is idle between requests may be evicted then
+CROWDED_FRACTION = 0.4  # of the connection limit, from which idle connections are closed ahead of need
+ACCEPT_BATCH_COUNT = 16  # connections that are accepted in one event loop iteration
+READ_PAUSE_US = 200_000  # for a request in small pieces, which the kernel collects meanwhile
+ACCEPT_RETRY_INTERVAL_US = 20_000  # while there is no room, and after errors
+CONNECTION_OVERHEAD_US = 60.0  # CPU time that the event loop itself uses for a connection
+LINGER_TIMEOUT_US = 1_000_000  # after the last answer, for the client to close the connection
+MAX_LINGER_BYTES = 1 << 20  # read and discarded meanwhile
 
 
 class State(Enum):
-    """What a connection is at."""
+    """The state of a connection."""
 
-    NEW = "new"  # nothing has come yet
-    OWING = "owing"  # a part of a request has come
+    NEW = "new"  # nothing received yet
+    OWING = "owing"  # part of a request received
     BUSY = "busy"  # its request is being answered
     IDLE = "idle"  # between requests
-    LEAVING = "leaving"  # its last answer is written
+    LEAVING = "leaving"  # the last answer has been written
 
 
-async def readable(opened: socket.socket) -> None:
-    """Wait until a connection stands ready on a port.
+async def wait_readable(listening_socket: socket.socket) -> None:
+    """Wait until a connection can be accepted on a listening socket.
 
-    Unlike `loop.sock_accept` it takes none: a cancellation could come between that and its caller's next
-    step, and the connection would be closed with its request unanswered.
+    Unlike `loop.sock_accept` this accepts none: a cancellation between the accept and the next step of the
+    caller would close the connection with its request unanswered.
     """
     loop = asyncio.get_running_loop()
     ready: asyncio.Future[None] = loop.create_future()
 
-    def wake() -> None:
+    def set_ready() -> None:
         if not ready.done():
             ready.set_result(None)
 
-    loop.add_reader(opened, wake)
+    loop.add_reader(listening_socket, set_ready)
     try:
         await ready
     finally:
-        loop.remove_reader(opened)
+        loop.remove_reader(listening_socket)
 
 
-def has_left(accepted: socket.socket) -> bool:
-    """Whether a client has gone again without a word; its socket is then closed.
+def closed_by_client(accepted: socket.socket) -> bool:
+    """Return whether the client has closed without sending anything; close its socket then.
 
-    Guards the loop against clients that connect and leave: a transport and a task cost ten times this.
+    Clients that connect and leave are cheap this way: a transport and a task cost ten times as much.
     """
     try:
         left = not accepted.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
-        left = False  # it is there, and has said nothing yet
+        left = False  # connected, nothing received yet
     except OSError:
         left = True
     if left:
@@ -93,115 +96,122 @@
 
 
 class Listener(ABC):
-    """Serves each connection until it ends; a failure ends only its own connection."""
+    """A listening port that serves each connection until it ends; an error ends only its own connection."""
 
-    too_slow = b""  # what a client hears whose request does not come whole in time
-    shared = False  # whether the port is shared with the next process at a hot restart
-    owed_us, spared_us = OWED_US, SPARED_US
+    too_slow = b""  # sent to a client whose request does not arrive completely in time
+    shared = False  # whether the next process shares the port at a hot restart
+    owed_us, spared_us = REQUEST_TIMEOUT_US, REQUEST_EVICTION_AGE_US
 
-    def __init__(self, most: int, exchange: Exchange) -> None:
-        self.most, self.exchange = most, exchange
+    def __init__(self, max_connections: int, exchange: Exchange) -> None:
+        self.max_connections, self.exchange = max_connections, exchange
         self.after: After = exchange.after
         self.load_shedder = exchange.load_shedder
-        self.streams: dict[Stream, tuple[State, int]] = {}  # each with the time; the latest change comes last
+        self.streams: dict[
+            Stream, tuple[State, int]
+        ] = {}  # with the time of the last change; latest change last
         self.draining = self._ended = False
-        self.lame = False  # in lame duck: connections end after their answer, the port stays open
+        self.lame = False  # in lame duck, connections close after their answer and the port stays open
         self.port = 0
         self._accepting_task: asyncio.Task[None] | None = None
-        self._connecting: set[asyncio.Task[None]] = set()  # connections that are taken and no streams yet
+        self._connecting: set[asyncio.Task[None]] = set()  # accepted connections that are no streams yet
         self._tasks: set[asyncio.Task[None]] = set()
-        self._rare = RareLog(log)
-        self._bad = RareLog(log)
-        self._penalties = 0
-        self._turns: FairSelector | None = None
-        self._strangers: dict[Stream, float] = {}  # without a good request: microseconds used by each so far
-        self._later: set[Stream] = set()  # those that are not read for a while
-        self._told_off: set[Stream] = set()  # those whose input was bad
-        self._accepting_us = 0.0  # used for connections since the last one was taken
+        self._accept_warnings = RareLog(log)
+        self._bad_input_warnings = RareLog(log)
+        self._active_penalties = 0
+        self._fair_selector: FairSelector | None = None
+        self._new_clients: dict[Stream, float] = {}  # no good request yet; CPU time used, in us
+        self._paused: set[Stream] = set()  # streams whose reading is paused
+        self._rejected: set[Stream] = set()  # streams whose input was bad
+        self._accept_cpu_us = 0.0  # CPU time used for accepting since the last accepted connection
 
     @abstractmethod
     async def talk(self, stream: Stream) -> None:
-        """Serve one connection, and `mark` what it is at; return to close it."""
+        """Serve one connection, and `mark` its state; return to close it."""
 
     def mark(self, stream: Stream, state: State) -> None:
-        """A connection is at something else. An answer to a good request makes it no stranger any more."""
+        """Set the state of a connection. The answer to a good request ends its status as a new client."""
         self.exchange.run_overdue_round()
-        if state is State.IDLE and (used := self._strangers.pop(stream, None)) is not None:
-            self.load_shedder.spent(-used)
-            self._rank(stream, ConnectionPriority.CLIENT)
-        was, since = self.streams.get(stream, (None, 0))
-        if was is state:
+        if state is State.IDLE and (used_us := self._new_clients.pop(stream, None)) is not None:
+            self.load_shedder.spent(-used_us)
+            self._set_priority(stream, ConnectionPriority.CLIENT)
+        previous_state, since = self.streams.get(stream, (None, 0))
+        if previous_state is state:
             return
         now = self._now()
-        # Guards the end of a bad input, which is owed in a time from connecting, against a late first byte.
-        since = min(now, since + REST_US) if was is State.NEW and state is State.OWING else now
+        # A late first byte must not delay the end of an incomplete request, which is due a limited time after
+        # the connection was opened.
+        since = (
+            min(now, since + FIRST_BYTE_GRACE_US)
+            if previous_state is State.NEW and state is State.OWING
+            else now
+        )
         self.streams.pop(stream, None)
         self.streams[stream] = state, since
 
     @property
     def leaving(self) -> bool:
-        """Whether connections end between requests: this sender ends, or is in lame duck."""
+        """Whether connections are closed between requests: the port drains, or is in lame duck."""
         return self.draining or self.lame
 
     @property
     def gone(self) -> bool:
-        """Whether the port is closed and every connection has ended, also those that were just coming."""
+        """Whether the port is closed and all connections have ended, including those being accepted."""
         accepting = self._accepting_task is not None and not self._accepting_task.done()
         return not (accepting or self._connecting or self.streams)
 
     def may_leave(self, stream: Stream) -> bool:
-        """Whether a connection between requests is to end now.
+        """Whether a connection between requests is to be closed now.
 
-        Guards a request that has come and is not read: a close would reset the connection, and might take the
-        last answer with it. Guards the first request of a new connection, which may be on its way.
+        A connection with unread input is not closed: the close would reset it, which might destroy the last
+        answer. A new connection is not closed either, as its first request may be on its way.
         """
         state, _ = self.streams.get(stream, (State.LEAVING, 0))
         return self.leaving and state is not State.NEW and not stream.unread
 
     async def listen(self, host: str, port: int) -> None:
-        """Open the port; with 0 the system chooses one."""
+        """Open the port; with 0 the operating system chooses one."""
         family, _, _, _, address = (await asyncio.get_running_loop().getaddrinfo(host, port))[0]
-        opened = socket.socket(family, socket.SOCK_STREAM)
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if self.shared:  # a hot restart: the next process listens beside this one before it leaves
-            opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        listening_socket = socket.socket(family, socket.SOCK_STREAM)
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        if self.shared:  # at a hot restart the next process listens before this one stops
+            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         try:
-            opened.bind(address)
+            listening_socket.bind(address)
         except OSError:
-            opened.close()
+            listening_socket.close()
             raise
-        self.port = opened.getsockname()[1]
-        self.serve_on(opened)
-
-    def serve_on(self, opened: socket.socket) -> None:
-        """Serve on a socket that is bound."""
-        opened.listen(BACKLOG)
-        self._turns = fair_selector_of(asyncio.get_running_loop())
-        if self._turns is not None:
-            self._turns.keeper = self.load_shedder
-        opened.setblocking(False)
-        accepting = self._start(self._accepting(opened))
-        # Not before: until its cancelling has run, the loop still watches the socket's number.
-        accepting.add_done_callback(lambda _: self._port_closes(opened))
-        self._accepting_task = accepting
-        self._start(self._looking())
+        self.port = listening_socket.getsockname()[1]
+        self.serve_on(listening_socket)
+
+    def serve_on(self, listening_socket: socket.socket) -> None:
+        """Serve on a bound socket."""
+        listening_socket.listen(LISTEN_BACKLOG_COUNT)
+        self._fair_selector = fair_selector_of(asyncio.get_running_loop())
+        if self._fair_selector is not None:
+            self._fair_selector.delay_monitor = self.load_shedder
+        listening_socket.setblocking(False)
+        accept_task = self._start(self._accept_metered(listening_socket))
+        # The socket is closed only once the cancelled task has ended: the loop watches it until then.
+        accept_task.add_done_callback(lambda _: self._take_backlog_and_close(listening_socket))
+        self._accepting_task = accept_task
+        self._start(self._check_timeouts())
 
     def lameduck(self, on: bool) -> None:
-        """Begin or end a lame duck: while it lasts, each connection ends once it is between requests."""
+        """Begin or end lame duck mode, in which each connection is closed once it is between requests."""
         self.lame = on
         if on:
-            self._close_between()
+            self._close_idle()
 
-    def _close_between(self) -> None:
+    def _close_idle(self) -> None:
         for stream, (state, _) in list(self.streams.items()):
             if state is State.IDLE and not stream.unread:
                 stream.close_at_once()
 
     def drain(self) -> None:
-        """Take in what waits at the port and close it, and each connection once it is between requests."""
+        """Accept the backlog, close the port, and close each connection once it is between requests."""
         self.draining = True
         self._close_port()
-        self._close_between()
+        self._close_idle()
 
     def close(self) -> None:
         """Close the port and all connections."""
@@ -210,249 +220,266 @@
         for task in self._tasks:
             task.cancel()
 
-    async def farewell(self, stream: Stream, last: bytes, why: str) -> None:
-        """Answer bad input, and part.
+    async def farewell(self, stream: Stream, last_answer: bytes, reason: str) -> None:
+        """Answer bad input, and close the connection gracefully.
 
-        Guards against clients that come back as soon as they are turned away: the answer is a little late.
-        Guards the answer itself: closing with bytes unread would reset the connection and destroy it. So only
-        our sending ends, and what still comes is read and dropped, for a while.
+        The answer is delayed, which slows down clients that reconnect as soon as they are rejected. Closing
+        with unread bytes would reset the connection and destroy the answer. So only the sending side is shut
+        down, and further input is read and discarded for a limited time.
         """
-        self._bad.warning("a client's input is refused: %s", why)
-        self._strangers.setdefault(stream, 0.0)
-        self._told_off.add(stream)
-        self._rank(stream, ConnectionPriority.NEW_CLIENT)
+        self._bad_input_warnings.warning("rejected the input of a client: %s", reason)
+        self._new_clients.setdefault(stream, 0.0)
+        self._rejected.add(stream)
+        self._set_priority(stream, ConnectionPriority.NEW_CLIENT)
         self.mark(stream, State.BUSY)
-        if self._penalties < self.load_shedder.penalties(self.most):
-            self._penalties += 1
+        if self._active_penalties < self.load_shedder.penalties(self.max_connections):
+            self._active_penalties += 1
             try:
                 await pause(self.after, self.load_shedder.penalty_us)
             finally:
-                self._penalties -= 1
-        await stream.send(last)
+                self._active_penalties -= 1
+        await stream.send(last_answer)
         self.mark(stream, State.LEAVING)
-        stream.end_sending()
+        stream.shutdown_write()
         with suppress(TimeoutError):
-            async with time_limit(self.after, LINGER_US):
-                left = LINGER_BYTES if self.load_shedder.level is Level.CALM else 0  # reading costs, too
-                while left > 0 and (gone := await stream.skip()):
-                    left -= gone
-                if left <= 0:  # let it wait for us, rather than read at its pace
-                    await pause(self.after, LINGER_US)
+            async with time_limit(self.after, LINGER_TIMEOUT_US):
+                # Reading costs CPU time, too: none is spent on it while the core is full.
+                remaining = MAX_LINGER_BYTES if self.load_shedder.level is Level.CALM else 0
+                while remaining > 0 and (discarded := await stream.discard_input()):
+                    remaining -= discarded
+                if remaining <= 0:  # let the client wait instead of reading all it sends
+                    await pause(self.after, LINGER_TIMEOUT_US)
 
-    # Room, and time.
+    # Accepting, eviction and time limits.
 
-    async def _accepting(self, opened: socket.socket) -> None:
-        await CpuMeteredCoroutine(self._accept_for_ever(opened), self._charge_accepting)
+    async def _accept_metered(self, listening_socket: socket.socket) -> None:
+        await CpuMeteredCoroutine(self._accept_loop(listening_socket), self._charge_accepting)
 
-    async def _accept_for_ever(self, opened: socket.socket) -> None:
+    async def _accept_loop(self, listening_socket: socket.socket) -> None:
         while True:
             try:
-                while len(self.streams) >= self.most and not self._make_room():
-                    at = Counter(state.value for state, _ in self.streams.values())
-                    what = ", ".join(f"{count} {state}" for state, count in sorted(at.items()))
-                    self._rare.warning("%d clients are connected (%s), others wait", self.most, what)
-                    await pause(self.after, FULL_US)
+                while len(self.streams) >= self.max_connections and not self._evict_connection():
+                    count_by_state = Counter(state.value for state, _ in self.streams.values())
+                    summary = ", ".join(f"{count} {state}" for state, count in sorted(count_by_state.items()))
+                    self._accept_warnings.warning(
+                        "all %d client connections are in use (%s); further clients wait",
+                        self.max_connections,
+                        summary,
+                    )
+                    await pause(self.after, ACCEPT_RETRY_INTERVAL_US)
                 self.exchange.run_overdue_round()
                 if wait_us := self.load_shedder.pace_us(self._now()):
                     await pause(self.after, wait_us)
-                # Guards new clients of a full core, whose turns are long, against one connection a turn.
-                batch = self._ready(opened, AT_ONCE)
+                # Iterations are long on a full core: with one accept in each, clients would wait for seconds.
+                batch = self._accept_batch(listening_socket, ACCEPT_BATCH_COUNT)
                 if not batch:
-                    await readable(opened)
+                    await wait_readable(listening_socket)
                     continue
-                taken = [accepted for accepted in batch if not has_left(accepted)]
-                if len(taken) < len(batch):
-                    wasted = self._accepting_us * (1 - len(taken) / len(batch))
-                    self._accepting_us -= wasted
-                    self.load_shedder.wasted(wasted)
-                if connecting := self._connect_all(taken):
-                    await asyncio.wait(connecting)  # a cancellation leaves them to go on
-                # Guards the loop against clients that leave as fast as they come: neither accepting nor
-                # gathering waits then.
+                alive = [accepted for accepted in batch if not closed_by_client(accepted)]
+                if len(alive) < len(batch):
+                    wasted_us = self._accept_cpu_us * (1 - len(alive) / len(batch))
+                    self._accept_cpu_us -= wasted_us
+                    self.load_shedder.wasted(wasted_us)
+                if connecting := self._connect_all(alive):
+                    await asyncio.wait(connecting)  # a cancellation does not cancel these tasks
+                # While clients leave as fast as they connect, nothing else here yields to the event loop.
                 await asyncio.sleep(0)
             except OSError as error:
-                # Guards the port against a client that is gone again, and against a lack of descriptors.
-                self._rare.warning("a connection was not accepted: %s", error.strerror or error)
-                await pause(self.after, FULL_US)
+                # The client may have gone again, or file descriptors have run out: the port stays open.
+                self._accept_warnings.warning("could not accept a connection: %s", error.strerror or error)
+                await pause(self.after, ACCEPT_RETRY_INTERVAL_US)
 
-    def _ready(self, opened: socket.socket, most: int) -> list[socket.socket]:
-        """Connections that stand ready, while there is room and strangers keep to their share."""
+    def _accept_batch(self, listening_socket: socket.socket, limit: int) -> list[socket.socket]:
+        """Accept pending connections, while there is room and new clients keep to their share of the CPU."""
         batch: list[socket.socket] = []
-        # Those that a drain has just closed are gone in the loop's next turns.
-        here = sum(not stream.closing for stream in self.streams) if self.draining else len(self.streams)
-        room = min(most, self.most - here)
+        # Streams that a drain has just closed are removed in the next loop iterations.
+        open_count = (
+            sum(not stream.closing for stream in self.streams) if self.draining else len(self.streams)
+        )
+        room = min(limit, self.max_connections - open_count)
         while len(batch) < room:
             if batch and not self.draining and self.load_shedder.pace_us(self._now()):
                 break
             try:
-                accepted, _ = opened.accept()
+                accepted, _ = listening_socket.accept()
             except (BlockingIOError, InterruptedError):
                 break
             except ConnectionAbortedError:
                 continue
             except OSError as error:
-                # Guards those that are accepted already against a lack of descriptors for the next one.
+                # If descriptors run out for the next one, those that are accepted already are kept.
                 if not batch:
                     raise
-                self._rare.warning("a connection was not accepted: %s", error.strerror or error)
+                self._accept_warnings.warning("could not accept a connection: %s", error.strerror or error)
                 break
             accepted.setblocking(False)
             batch.append(accepted)
         return batch
 
-    def _port_closes(self, opened: socket.socket) -> None:
-        """Close the port. What stands ready there is taken in first, unless all ends.
+    def _take_backlog_and_close(self, listening_socket: socket.socket) -> None:
+        """Close the listening socket, after accepting its backlog unless the listener was closed.
 
-        Guards connections that the kernel has taken, some with their request: the port's end resets them.
+        The kernel resets connections that wait in the backlog when the socket is closed, even those whose
+        request has arrived.
         """
         if self.draining and not self._ended:
             with suppress(OSError):
-                ready = self._ready(opened, BACKLOG)
-                self._connect_all(accepted for accepted in ready if not has_left(accepted))
-        opened.close()
+                ready = self._accept_batch(listening_socket, LISTEN_BACKLOG_COUNT)
+                self._connect_all(accepted for accepted in ready if not closed_by_client(accepted))
+        listening_socket.close()
 
     def _connect_all(self, batch: Iterable[socket.socket]) -> list[asyncio.Task[None]]:
-        """Make streams of accepted connections, beside whoever waits for that."""
-        started = [self._start(self._connect(accepted)) for accepted in batch]
-        for task in started:
+        """Start a task for each accepted connection that makes a stream of it."""
+        tasks = [self._start(self._connect(accepted)) for accepted in batch]
+        for task in tasks:
             self._connecting.add(task)
             task.add_done_callback(self._connecting.discard)
-        return started
+        return tasks
 
     async def _connect(self, accepted: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
-            await CpuMeteredCoroutine(self._made(loop, accepted), self._charge_accepting)
+            await CpuMeteredCoroutine(self._create_stream(loop, accepted), self._charge_accepting)
         except OSError as error:
-            self._rare.warning("a connection was not accepted: %s", error.strerror or error)
+            self._accept_warnings.warning("could not accept a connection: %s", error.strerror or error)
 
-    async def _made(self, loop: asyncio.AbstractEventLoop, accepted: socket.socket) -> None:
+    async def _create_stream(self, loop: asyncio.AbstractEventLoop, accepted: socket.socket) -> None:
         try:
-            await loop.connect_accepted_socket(lambda: stream_protocol(self._accept), accepted)
+            await loop.connect_accepted_socket(lambda: stream_protocol(self._start_serving), accepted)
         except BaseException:
             accepted.close()
             raise
 
-    def _make_room(self) -> bool:
-        """Part with a connection that nobody misses: silent ones must not keep the usual clients out."""
+    def _evict_connection(self) -> bool:
+        """Close the most dispensable connection; return whether there was one.
+
+        Silent connections must not keep active clients out.
+        """
         now = self._now()
-        # One that has been answered is missed less than one whose first request may be on its way, and that
-        # less than one of whose request a part has come.
-        spared = (
+        # An answered connection is more dispensable than one whose first request may be on its way, and that
+        # one more than one with a partial request.
+        eviction_order = (
             (State.LEAVING, 0),
-            (State.IDLE, KEPT_US),
+            (State.IDLE, IDLE_EVICTION_AGE_US),
             (State.NEW, self.spared_us),
             (State.OWING, self.spared_us),
         )
-        for state, least_us in spared:
-            for stream, (at, since) in self.streams.items():
-                if now - since < least_us:
-                    break  # and those behind it are younger
-                # Guards a request that has come in and is not read yet.
-                if at is state and (state is State.LEAVING or not stream.unread_outside):
+        for state, min_age_us in eviction_order:
+            for stream, (current, since) in self.streams.items():
+                if now - since < min_age_us:
+                    break  # the following ones are younger
+                # A request that has arrived and is not read yet protects its connection.
+                if current is state and (state is State.LEAVING or not stream.unread_beyond_buffer):
                     del self.streams[stream]
                     stream.close_at_once()
                     return True
         return False
 
-    async def _looking(self) -> None:
-        looked, used = self._now(), time.thread_time()
+    async def _check_timeouts(self) -> None:
+        checked_at, thread_time_s = self._now(), time.thread_time()
         while True:
-            await pause(self.after, LOOK_US)
-            now, uses = self._now(), time.thread_time()
-            lost = now - looked - LOOK_US - int((uses - used) * 1e6)
-            looked, used = now, uses
-            if lost >= LOOK_US:
-                # Guards clients against time in which we neither waited for them nor were run.
+            await pause(self.after, TIMEOUT_CHECK_INTERVAL_US)
+            now, thread_time_now_s = self._now(), time.thread_time()
+            lost_us = (
+                now - checked_at - TIMEOUT_CHECK_INTERVAL_US - int((thread_time_now_s - thread_time_s) * 1e6)
+            )
+            checked_at, thread_time_s = now, thread_time_now_s
+            if lost_us >= TIMEOUT_CHECK_INTERVAL_US:
+                # Time in which this process neither waited nor was run does not count against clients.
                 for stream, (state, since) in self.streams.items():
-                    self.streams[stream] = state, min(now, since + lost)
-            # Guards clients that may hold only so many connections, and get new ones as we close idle ones.
-            crowded = len(self.streams) > self.most * CROWDED
+                    self.streams[stream] = state, min(now, since + lost_us)
+            # Clients that may hold only a limited number of connections, and keep them idle, would have none
+            # left for a request: they open a new one after an idle one is closed.
+            crowded = len(self.streams) > self.max_connections * CROWDED_FRACTION
             for stream, (state, since) in list(self.streams.items()):
-                if stream.closing or now - since < min(self.owed_us, KEPT_US):
+                if stream.closing or now - since < min(self.owed_us, IDLE_EVICTION_AGE_US):
                     continue
-                if stream.unread_outside and stream not in self._later:
+                if stream.unread_beyond_buffer and stream not in self._paused:
                     continue
                 if state is State.OWING and now - since >= self.owed_us:
-                    self._bad.warning("a client's input is refused: it does not come whole in time")
+                    self._bad_input_warnings.warning(
+                        "rejected the input of a client: the request did not arrive completely in time"
+                    )
                     stream.send_last(self.too_slow)
                     stream.close_at_once()
-                elif now - since >= self._silent_us(state, crowded):
+                elif now - since >= self._silence_limit_us(state, crowded):
                     stream.close_at_once()
 
-    def _silent_us(self, state: State, crowded: bool) -> int:
-        """For how long a connection may say nothing."""
+    def _silence_limit_us(self, state: State, crowded: bool) -> int:
+        """Return for how long a connection in this state may be silent."""
         match state:
             case State.NEW:
-                return min(self.owed_us, FIRST_US) if self.leaving else self.owed_us
+                return min(self.owed_us, LEAVING_FIRST_BYTE_TIMEOUT_US) if self.leaving else self.owed_us
             case State.IDLE:
-                return KEPT_US if crowded else IDLE_US
+                return IDLE_EVICTION_AGE_US if crowded else IDLE_TIMEOUT_US
             case _:
-                return EVER_US
+                return NO_TIMEOUT_US
 
-    def _accept(self, stream: Stream) -> None:
-        self.load_shedder.spent(CONNECTION_US)
-        self._rank(stream, ConnectionPriority.NEW_CLIENT)
-        self._strangers[stream], self._accepting_us = self._accepting_us + CONNECTION_US, 0.0
+    def _start_serving(self, stream: Stream) -> None:
+        self.load_shedder.spent(CONNECTION_OVERHEAD_US)
+        self._set_priority(stream, ConnectionPriority.NEW_CLIENT)
+        self._new_clients[stream], self._accept_cpu_us = self._accept_cpu_us + CONNECTION_OVERHEAD_US, 0.0
         self.mark(stream, State.NEW)
         self._start(self._serve(stream))
 
     async def _serve(self, stream: Stream) -> None:
         try:
-            await CpuMeteredCoroutine(self.talk(stream), lambda us: self._charge(stream, us))
-        except (OSError, TimeoutError) as gone:
-            log.debug("a client went away: %s", gone)
+            await CpuMeteredCoroutine(self.talk(stream), lambda us: self._charge_cpu(stream, us))
+        except (OSError, TimeoutError) as error:
+            log.debug("client connection ended: %s", error)
         except Exception:
-            log.exception("a client's connection failed")
+            log.exception("client connection failed with an unexpected error")
         finally:
             self.streams.pop(stream, None)
-            used = self._strangers.pop(stream, None)
-            if used is not None and stream not in self._told_off:
-                self.load_shedder.wasted(used)
-            self._told_off.discard(stream)
+            used_us = self._new_clients.pop(stream, None)
+            if used_us is not None and stream not in self._rejected:
+                self.load_shedder.wasted(used_us)
+            self._rejected.discard(stream)
             stream.close_at_once()
 
     def _charge_accepting(self, us: float) -> None:
-        self._accepting_us += us
+        self._accept_cpu_us += us
         self.load_shedder.spent(us)
 
-    def _charge(self, stream: Stream, us: float) -> None:
-        if (used := self._strangers.get(stream)) is not None:
-            self._strangers[stream] = used + us
+    def _charge_cpu(self, stream: Stream, us: float) -> None:
+        if (used_us := self._new_clients.get(stream)) is not None:
+            self._new_clients[stream] = used_us + us
             self.load_shedder.spent(us)
-            self._rank(stream, ConnectionPriority.NEW_CLIENT, used + us)
+            self._set_priority(stream, ConnectionPriority.NEW_CLIENT, used_us + us)
             state = self.streams.get(stream, (State.LEAVING, 0))[0]
-            asking = state in (State.NEW, State.OWING)
-            if asking and not stream.closing and self.load_shedder.used_up(used + us):
-                # Guards a full core against requests that come in by single bytes.
-                self._bad.warning("a client's input is refused: its request takes too much time to read")
+            awaiting_request = state in (State.NEW, State.OWING)
+            if awaiting_request and not stream.closing and self.load_shedder.used_up(used_us + us):
+                # Requests that arrive byte by byte would use up a full core.
+                self._bad_input_warnings.warning(
+                    "rejected the input of a client: reading its request takes too much time"
+                )
                 stream.send_last(self.too_slow)
                 stream.close_at_once()
-            elif asking and self.load_shedder.in_pieces(used + us):
-                self._read_later(stream)
+            elif awaiting_request and self.load_shedder.in_pieces(used_us + us):
+                self._pause_reading(stream)
 
-    def _read_later(self, stream: Stream) -> None:
-        """Guards a full core against single bytes: what the kernel's events for them cost is not metered."""
-        if stream in self._later or stream.closing:
+    def _pause_reading(self, stream: Stream) -> None:
+        """Pause reading, so that single bytes collect: the cost of kernel events for them is not metered."""
+        if stream in self._paused or stream.closing:
             return
-        self._later.add(stream)
+        self._paused.add(stream)
         stream.pause()
 
-        def read_again() -> None:
-            self._later.discard(stream)
+        def resume_reading() -> None:
+            self._paused.discard(stream)
             stream.resume()
-            if stream in self._strangers:  # whose rank went with the watch on it
-                self._rank(stream, ConnectionPriority.NEW_CLIENT, self._strangers[stream])
+            if stream in self._new_clients:  # pausing unregistered the socket, which reset its priority
+                self._set_priority(stream, ConnectionPriority.NEW_CLIENT, self._new_clients[stream])
 
-        self.after(PIECES_US, read_again)
+        self.after(READ_PAUSE_US, resume_reading)
 
-    def _rank(self, stream: Stream, rank: ConnectionPriority, used_us: float = 0.0) -> None:
-        if self._turns is not None and (descriptor := stream.descriptor) >= 0:
-            self._turns.rank(descriptor, rank, used_us)
+    def _set_priority(self, stream: Stream, priority: ConnectionPriority, used_us: float = 0.0) -> None:
+        if self._fair_selector is not None and (descriptor := stream.descriptor) >= 0:
+            self._fair_selector.set_priority(descriptor, priority, used_us)
 
-    def _start(self, serving: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        # A task of our own: asyncio reports the cancelling of its own ones as errors.
-        task = asyncio.create_task(serving)
+    def _start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        # Not a task that asyncio creates itself: it reports the cancellation of those as errors.
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
--- a/rowanrack/net/memory_peers.py
+++ b/rowanrack/net/memory_peers.py
@@ -1,7 +1,7 @@
-"""Notes between senders in memory and in virtual time: what the UDP port promises, and all that it may do.
+"""Notes between senders in memory and in virtual time, with the guarantees and the faults of UDP.
 
-A note may be lost, come twice, late, or behind a later one. It is never altered and never from a stranger.
-For the tests and models of what senders believe; the sender itself uses `PeerPort`.
+A note may be lost, duplicated, delayed or reordered. It is never altered and never from an unknown sender.
+This is for tests and models of gossip; the sender itself uses `PeerPort`.
 """
 
 from __future__ import annotations
@@ -12,47 +12,47 @@
 
 from rowanspindle.notes import Note, decode_note, encode_note
 
-Later = Callable[[int, Callable[[], None]], object]  # do something after so many microseconds
+Scheduler = Callable[[int, Callable[[], None]], object]  # run an action after a delay in microseconds
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
-    """What becomes of a datagram: parts of all that are lost or doubled, and the bounds of its delay."""
+class NetworkFaults:
+    """Network faults: the fractions of datagrams lost and duplicated, and the bounds of their delay."""
 
-    lost: float = 0.0
-    doubled: float = 0.0
-    least_us: int = 100
-    most_us: int = 100
+    loss_fraction: float = 0.0
+    duplicate_fraction: float = 0.0
+    min_delay_us: int = 100
+    max_delay_us: int = 100
 
 
-class Hub:
-    """The way between all senders; each is heard by the others under its number."""
+class InMemoryNetwork:
+    """The network between all senders, which are identified by number."""
 
-    def __init__(self, later: Later, rng: Random, weather: Weather) -> None:
-        self.weather, self._later, self._rng = weather, later, rng
-        self._heard: dict[int, list[Callable[[int, Note], None]]] = {}
+    def __init__(self, schedule: Scheduler, rng: Random, faults: NetworkFaults) -> None:
+        self.faults, self._schedule, self._rng = faults, schedule, rng
+        self._receivers: dict[int, list[Callable[[int, Note], None]]] = {}
         self.sent = 0
 
-    def open(self, number: int, heard: Callable[[int, Note], None]) -> None:
-        """Hear as this sender. Of two that do, one gets a datagram, as of two that share a port."""
-        self._heard.setdefault(number, []).append(heard)
+    def open(self, number: int, receiver: Callable[[int, Note], None]) -> None:
+        """Receive as this sender. Each datagram reaches one receiver, as with processes that share a port."""
+        self._receivers.setdefault(number, []).append(receiver)
 
-    def close(self, number: int, heard: Callable[[int, Note], None]) -> None:
-        """Hear no more; what is under way to it is lost."""
-        self._heard[number].remove(heard)
+    def close(self, number: int, receiver: Callable[[int, Note], None]) -> None:
+        """Stop receiving; datagrams on their way are lost."""
+        self._receivers[number].remove(receiver)
 
-    def tell(self, number: int, note: Note) -> None:
-        """A note from this sender to all others. Raises ValueError for one that is too long."""
-        data, weather = encode_note(note), self.weather
+    def send(self, number: int, note: Note) -> None:
+        """Send a note from this sender to all others. Raise ValueError if it is too long."""
+        data, faults = encode_note(note), self.faults
         self.sent += 1
-        for other in self._heard:
+        for other in self._receivers:
             if other == number:
                 continue
-            for _ in range(1 + (self._rng.random() < weather.doubled)):
-                if self._rng.random() >= weather.lost:
-                    delay = self._rng.randint(weather.least_us, weather.most_us)
-                    self._later(delay, lambda other=other: self._arrive(number, other, data))  # type: ignore[misc]
-
-    def _arrive(self, number: int, other: int, data: bytes) -> None:
-        if heard := self._heard[other]:
-            self._rng.choice(heard)(number, decode_note(data))
+            for _ in range(1 + (self._rng.random() < faults.duplicate_fraction)):
+                if self._rng.random() >= faults.loss_fraction:
+                    delay_us = self._rng.randint(faults.min_delay_us, faults.max_delay_us)
+                    self._schedule(delay_us, lambda other=other: self._deliver(number, other, data))  # type: ignore[misc]
+
+    def _deliver(self, number: int, other: int, data: bytes) -> None:
+        if receivers := self._receivers[other]:
+            self._rng.choice(receivers)(number, decode_note(data))
--- a/rowanrack/net/peers.py
+++ b/rowanrack/net/peers.py
@@ -1,4 +1,4 @@
-"""The port on which senders tell each other what they have seen: one UDP socket, and what is kept off it."""
+"""The UDP port on which senders exchange gossip notes, with protection against strangers and floods."""
 
 from __future__ import annotations
 
@@ -14,61 +14,73 @@
 
 Address = tuple[str, int]
 
-READ_MOST = 64  # datagrams read in one turn: a flood waits in the socket, and what does not fit there is lost
-EACH_MOST = 40.0  # notes a second from one peer; more are dropped unread
+# Per event loop iteration. The rest of a flood waits in the socket buffer, and is lost when that is full.
+MAX_DATAGRAMS_PER_READ = 64
+MAX_NOTES_PER_PEER_PER_S = 40.0  # from one peer; more are dropped unread
 
 
 class PeerPort:
-    """Notes to all other senders, and from them. What is no note of a known peer is dropped and counted."""
+    """Sends notes to all other senders and receives theirs.
+
+    Datagrams that are no notes of a known peer are dropped and counted.
+    """
 
     def __init__(
         self,
-        own: Address,
+        own_address: Address,
         peers: Sequence[Address],
-        all_at: Address,
-        heard: Callable[[int, Note], None],
+        broadcast_address: Address,
+        receive: Callable[[int, Note], None],
         now_us: Callable[[], int],
     ) -> None:
-        self._own, self._all, self._heard, self._now_us = own, all_at, heard, now_us
-        self._numbers = {address: number for number, address in enumerate(peers)}
-        self._room: dict[int, tuple[float, int]] = {}  # notes that a peer may still send, and as of when
-        self._rare = RareLog(log)
+        self._own_address, self._broadcast_address, self._receive, self._now_us = (
+            own_address,
+            broadcast_address,
+            receive,
+            now_us,
+        )
+        self._peer_numbers = {address: number for number, address in enumerate(peers)}
+        # The token bucket of each peer: notes that it may still send, and the time in us of that count.
+        self._buckets: dict[int, tuple[float, int]] = {}
+        self._warnings = RareLog(log)
         self._socket: socket.socket | None = None
         self._loop: AbstractEventLoop | None = None
         self.dropped = 0
 
     def open(self) -> None:
-        """Take the port. Raises OSError."""
+        """Bind the port. Raise OSError."""
         port = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             port.setblocking(False)
-            port.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)  # at a hot restart two share it
-            port.bind(self._own)
+            port.setsockopt(
+                socket.SOL_SOCKET, socket.SO_REUSEPORT, 1
+            )  # at a hot restart two processes share the port
+            port.bind(self._own_address)
         except OSError:
             port.close()
             raise
         self._socket, self._loop = port, get_running_loop()
-        self._loop.add_reader(port.fileno(), self._readable)
+        self._loop.add_reader(port.fileno(), self._read_datagrams)
 
     def close(self) -> None:
-        """Tell and hear no more."""
+        """Stop sending and receiving."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket.fileno())
             self._socket.close()
             self._socket = None
 
     def tell(self, note: Note) -> None:
-        """Send a note to all; one that cannot go out is lost, as any may be."""
+        """Send a note to all peers; one that cannot be sent is lost, as any note may be."""
         if self._socket is None:
             return
         try:
-            self._socket.sendto(encode_note(note), self._all)
+            self._socket.sendto(encode_note(note), self._broadcast_address)
         except OSError as error:
-            self._rare.warning("notes: not sent: %s", error.strerror or error)
+            self._warnings.warning("could not send a note to the peers: %s", error.strerror or error)
 
-    def _readable(self) -> None:
-        """Read what has come."""
-        for _ in range(READ_MOST):
+    def _read_datagrams(self) -> None:
+        """Read pending datagrams."""
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             if self._socket is None:
                 return
             try:
@@ -76,32 +88,34 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                self._rare.warning("notes: not read: %s", error.strerror or error)
+                self._warnings.warning("could not receive notes from the peers: %s", error.strerror or error)
                 return
-            self._take(data, source)
+            self._process_datagram(data, source)
 
-    def _take(self, data: bytes, source: Address) -> None:
-        if (number := self._numbers.get(source)) is None:
-            self._drop("from %s:%d, which is no peer", *source)
+    def _process_datagram(self, data: bytes, source: Address) -> None:
+        if (number := self._peer_numbers.get(source)) is None:
+            self._drop("from %s:%d, which is not a peer", *source)
             return
-        if not self._within(number):
-            self._drop("more than %d a second from peer %d", EACH_MOST, number)
+        if not self._take_token(number):
+            self._drop("over the limit of %d per second, from peer %d", MAX_NOTES_PER_PEER_PER_S, number)
             return
         try:
             note = decode_note(data)
         except NoteError as error:
-            self._drop("from peer %d: %s", number, error)
+            self._drop("from peer %d, which is invalid: %s", number, error)
             return
-        self._heard(number, note)
+        self._receive(number, note)
 
-    def _within(self, number: int) -> bool:
-        """Whether a peer keeps to what it may send: reading and believing cost time."""
+    def _take_token(self, number: int) -> bool:
+        """Take a token for a note of a peer, if one is left: decoding and processing notes costs time."""
         now = self._now_us()
-        room, at = self._room.get(number, (EACH_MOST, now))
-        room = min(EACH_MOST, room + EACH_MOST * (now - at) / 1_000_000)
-        self._room[number] = max(0.0, room - 1), now
-        return room >= 1
+        tokens, updated_at = self._buckets.get(number, (MAX_NOTES_PER_PEER_PER_S, now))
+        tokens = min(
+            MAX_NOTES_PER_PEER_PER_S, tokens + MAX_NOTES_PER_PEER_PER_S * (now - updated_at) / 1_000_000
+        )
+        self._buckets[number] = max(0.0, tokens - 1), now
+        return tokens >= 1
 
     def _drop(self, text: str, *args: object) -> None:
         self.dropped += 1
-        self._rare.warning("notes: dropped one " + text, *args)
+        self._warnings.warning("dropped a note " + text, *args)
--- a/rowanrack/net/pool.py
+++ b/rowanrack/net/pool.py
@@ -1,4 +1,4 @@
-"""The pool: connections to instances, and the attempts on them."""
+"""The connection pool: connections to endpoints, and the calls on them."""
 
 from __future__ import annotations
 
@@ -26,58 +26,60 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_PART = 0.6  # of the idle time after which an instance may close a connection: ours go well before
-REPLY_LIMIT = 64 * 1024
-REST_US = 200_000  # for the rest of an answer: the message's end is known by then
+# Part of the keep-alive time, after which an endpoint may close an idle connection: close well before it.
+IDLE_TIMEOUT_FRACTION = 0.6
+MAX_RESPONSE_BODY_BYTES = 64 * 1024
+# For the rest of a response: the result of the message is known from its beginning.
+RESPONSE_REST_TIMEOUT_US = 200_000
 
 
 class CallForm(Protocol):
-    """How a front's messages are called out to instances."""
+    """How messages of a front are sent to endpoints."""
 
     def part(self, waiting: Sequence[Attempt]) -> int:
-        """How many of them, from the first on, go in one call; all are for one instance."""
+        """Return how many attempts, from the first on, go into one call; all are for one endpoint."""
 
     def call(self, part: Sequence[Attempt], left_us: int) -> Call:
-        """The request of attempts that are waited for so long."""
+        """Return the request for attempts that have this time left."""
 
     def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
-        """What the answer means for each."""
+        """Return the verdict of the response on each attempt."""
 
 
-class Idle:
-    """A connection that waits for its next call; whatever arrives meanwhile ends it."""
+class IdleConnection:
+    """An idle connection; any input meanwhile closes it."""
 
-    def __init__(self, instance: Endpoint, caller: HttpCaller, now_us: int) -> None:
-        self.instance, self.caller, self.since_us = instance, caller, now_us
+    def __init__(self, endpoint: Endpoint, caller: HttpCaller, now_us: int) -> None:
+        self.endpoint, self.caller, self.since_us = endpoint, caller, now_us
         self.watch = asyncio.create_task(caller.stream.fill_quietly())
         self.timer: WheelTimer | None = None
 
 
 class EndpointPool:
-    """Connections to instances, each with one call at a time, and a task for each batch of attempts."""
+    """Connections to endpoints, each with one call at a time, and a task for each batch of attempts."""
 
-    def __init__(self, exchange: Exchange, forms: dict[str, CallForm], idle_most: int) -> None:
+    def __init__(self, exchange: Exchange, forms: dict[str, CallForm], max_idle: int) -> None:
         self.exchange, self.forms = exchange, forms
-        self.idle: defaultdict[str, list[Idle]] = defaultdict(list)
+        self.idle: defaultdict[str, list[IdleConnection]] = defaultdict(list)
         self.tasks: dict[Batch, asyncio.Task[None]] = {}
-        self._callers: dict[Batch, HttpCaller] = {}  # of calls that are out
-        self._aged: dict[Idle, None] = {}  # all idle connections, the one that is idle longest first
-        self._idle_most = idle_most
-        self._rare = RareLog(log)
-        self._idle_us = int(exchange.settings.keepalive_us * IDLE_PART)
+        self._callers: dict[Batch, HttpCaller] = {}  # of calls in progress
+        self._idle_by_age: dict[IdleConnection, None] = {}  # all idle connections, longest idle first
+        self._max_idle = max_idle
+        self._warnings = RareLog(log)
+        self._idle_timeout_us = int(exchange.settings.keepalive_us * IDLE_TIMEOUT_FRACTION)
 
-    # What the exchange asks for.
+    # Called by the exchange.
 
     def start(self, batch: Batch) -> None:
-        """Make the call in a task of its own."""
+        """Start a task that makes the calls of a batch."""
         task = self.tasks[batch] = asyncio.create_task(self._run(batch))
         task.add_done_callback(lambda _: self.tasks.pop(batch, None))
 
     def abandon(self, batch: Batch) -> None:
-        """Give the call up: its connection is closed, which tells the instance.
+        """Cancel the call and close its connection, which notifies the endpoint.
 
-        It is closed here and not in the call's task, whose turn comes later: a last byte that still goes out
-        in between would make a call of what is settled as never sent.
+        The connection is closed here and not in the task of the call, which runs later: if the last byte went
+        out in between, a call that is settled as not sent would run after all.
         """
         if (caller := self._callers.get(batch)) is not None:
             caller.stream.abort()
@@ -85,34 +87,36 @@
             task.cancel()
 
     def progress(self, batch: Batch) -> Progress:
-        """How far the call that is out has come."""
+        """Return the progress of the current call of a batch."""
         caller = self._callers.get(batch)
         return Progress.SENT if caller is None else caller.progress
 
     def close_idle(self, name: str) -> None:
-        """Close the idle connections to an instance."""
+        """Close the idle connections to an endpoint."""
         for idle in self.idle.pop(name, []):
             self._discard(idle)
 
     def close(self) -> None:
-        """Give up all calls and close all connections."""
+        """Cancel all calls and close all connections."""
         for batch in list(self.tasks):
             self.abandon(batch)
         for name in list(self.idle):
             self.close_idle(name)
 
-    # One batch.
+    # Calls of one batch.
 
     async def _run(self, batch: Batch) -> None:
-        """Write a batch, in one call or one after the other on one connection: it has one slot."""
+        """Make the calls of a batch one after the other, on one connection: a batch has one slot."""
         caller: HttpCaller | None = None
         try:
             while waiting := batch.waiting():
                 if caller is None:
-                    caller = await self._take(batch.endpoint) or await self._open(batch.endpoint)
+                    caller = await self._take_idle(batch.endpoint) or await self._connect(batch.endpoint)
                 form = self.forms[waiting[0].message.front]
-                same = [e for e in waiting if self.forms[e.message.front] is form]
-                part = [e for e in same[: form.part(same)] if self.exchange.begin(e)]
+                same_form = [attempt for attempt in waiting if self.forms[attempt.message.front] is form]
+                part = [
+                    attempt for attempt in same_form[: form.part(same_form)] if self.exchange.begin(attempt)
+                ]
                 if not part:
                     continue
                 verdicts = await self._call(caller, form, part)
@@ -120,19 +124,19 @@
                     caller.stream.abort()
                     caller = None
                 elif len(part) == len(waiting):
-                    self._keep(batch.endpoint, caller)
+                    self._keep_idle(batch.endpoint, caller)
                     caller = None
                 for attempt, verdict in zip(part, verdicts, strict=True):
                     self.exchange.settle(attempt, verdict)
             if caller is not None:
-                self._keep(batch.endpoint, caller)
+                self._keep_idle(batch.endpoint, caller)
                 caller = None
         except (OSError, TimeoutError):
-            # Only opening the connection raises these: nothing of what still waits was written.
+            # Only opening a connection raises these: no waiting attempt has been written.
             for attempt in batch.waiting():
                 self.exchange.settle(attempt, Result.CONNECT_FAILED)
         except Exception:
-            log.exception("a call to %s failed", batch.endpoint.name)
+            log.exception("call to endpoint %s failed with an unexpected error", batch.endpoint.name)
             for attempt in batch.attempts:
                 self.exchange.settle(attempt, Result.RESET if attempt.begun else Result.CONNECT_FAILED)
         finally:
@@ -140,81 +144,85 @@
                 caller.stream.abort()
 
     async def _call(self, caller: HttpCaller, form: CallForm, part: list[Attempt]) -> list[CallVerdict]:
-        """One call and what became of each attempt in it."""
+        """Make one call and return the verdict on each attempt in it."""
         now = self.exchange.clock.now_us()
-        left_us = max(e.started_us + e.timeout_us - now for e in part)
+        left_us = max(attempt.started_us + attempt.timeout_us - now for attempt in part)
         batch = part[0].batch
         self._callers[batch] = caller
         try:
             return form.verdicts(part, await caller.call(form.call(part, max(1000, left_us))))
         except StaleConnectionError:
-            result = Result.MOOT  # says nothing of the endpoint: only the kept connection was of no use
+            result = Result.MOOT  # says nothing about the endpoint: only the idle connection was stale
         except CallNotSentError:
             result = Result.CONNECT_FAILED
         except CallBrokenError as error:
-            self._rare.warning("%s: %s, the call may have run", part[0].endpoint.name, error)
+            self._warnings.warning(
+                "call to endpoint %s failed and may have run: %s", part[0].endpoint.name, error
+            )
             result = Result.RESET
         finally:
             del self._callers[batch]
         return [CallVerdict(result)] * len(part)
 
-    async def _open(self, instance: Endpoint) -> HttpCaller:
+    async def _connect(self, endpoint: Endpoint) -> HttpCaller:
         async with time_limit(self.exchange.after, self.exchange.settings.connect_timeout_us):
-            stream = await Stream.connect(instance.host, instance.port)
-        host = f"{instance.host}:{instance.port}"
-        return HttpCaller(stream, host, REPLY_LIMIT, self.exchange.after, REST_US)
-
-    async def _take(self, instance: Endpoint) -> HttpCaller | None:
-        """The connection used last: it stands idle for the shortest time."""
-        waiting = self.idle.get(instance.name, [])
+            stream = await Stream.connect(endpoint.host, endpoint.port)
+        host = f"{endpoint.host}:{endpoint.port}"
+        return HttpCaller(
+            stream, host, MAX_RESPONSE_BODY_BYTES, self.exchange.after, RESPONSE_REST_TIMEOUT_US
+        )
+
+    async def _take_idle(self, endpoint: Endpoint) -> HttpCaller | None:
+        """Return the most recently used idle connection that is still usable, or None."""
+        waiting = self.idle.get(endpoint.name, [])
         while waiting:
             idle = waiting.pop()
-            self._aged.pop(idle, None)
+            self._idle_by_age.pop(idle, None)
             if idle.timer is not None:
                 idle.timer.cancel()
-            # Guards against two readers of one connection: asyncio lets the watch go only once its
-            # cancellation has run, and until then the call's own read fails.
+            # Only one task may read from a connection: until the cancelled watch task has ended, the read of
+            # the call would fail.
             idle.watch.cancel()
             try:
                 await asyncio.wait([idle.watch])
             except asyncio.CancelledError:
                 idle.caller.stream.abort()
                 raise
-            moved = (instance.host, instance.port) != (idle.instance.host, idle.instance.port)
-            # Guards against a timer that fires late: by then the endpoint may have closed it unseen.
-            expired = self.exchange.clock.now_us() - idle.since_us >= self._idle_us
+            moved = (endpoint.host, endpoint.port) != (idle.endpoint.host, idle.endpoint.port)
+            # The timer may fire late: by then the endpoint may have closed the connection unnoticed.
+            expired = self.exchange.clock.now_us() - idle.since_us >= self._idle_timeout_us
             if idle.watch.cancelled() and idle.caller.reusable and not (moved or expired):
                 return idle.caller
             idle.caller.stream.abort()
         return None
 
-    def _keep(self, instance: Endpoint, caller: HttpCaller) -> None:
-        if not self.exchange.table.listed(instance.name):
-            # Guards the instance, and our descriptors: nothing new goes to one that drains or is gone.
+    def _keep_idle(self, endpoint: Endpoint, caller: HttpCaller) -> None:
+        if not self.exchange.table.listed(endpoint.name):
+            # No new calls go to an endpoint that drains or is removed: release the connection.
             caller.stream.abort()
             return
-        idle = Idle(instance, caller, self.exchange.clock.now_us())
-        waiting = self.idle[instance.name]
+        idle = IdleConnection(endpoint, caller, self.exchange.clock.now_us())
+        waiting = self.idle[endpoint.name]
         waiting.append(idle)
-        self._aged[idle] = None
+        self._idle_by_age[idle] = None
 
         def expire() -> None:
             if idle in waiting:
                 waiting.remove(idle)
                 self._discard(idle)
-            if not waiting and self.idle.get(instance.name) is waiting:
-                del self.idle[instance.name]  # names are ever new
+            if not waiting and self.idle.get(endpoint.name) is waiting:
+                del self.idle[endpoint.name]  # endpoint names keep changing: empty entries would accumulate
 
-        idle.timer = self.exchange.after(self._idle_us, expire)
+        idle.timer = self.exchange.after(self._idle_timeout_us, expire)
         idle.watch.add_done_callback(lambda _: expire())
-        if len(self._aged) > self._idle_most:
-            # Guards the limit on descriptors: the connection that stands idle longest goes.
-            oldest = next(iter(self._aged))
-            self.idle[oldest.instance.name].remove(oldest)
+        if len(self._idle_by_age) > self._max_idle:
+            # File descriptors are limited: close the connection that has been idle longest.
+            oldest = next(iter(self._idle_by_age))
+            self.idle[oldest.endpoint.name].remove(oldest)
             self._discard(oldest)
 
-    def _discard(self, idle: Idle) -> None:
-        self._aged.pop(idle, None)
+    def _discard(self, idle: IdleConnection) -> None:
+        self._idle_by_age.pop(idle, None)
         idle.watch.cancel()
         if idle.timer is not None:
             idle.timer.cancel()
--- a/rowanrack/net/ring.py
+++ b/rowanrack/net/ring.py
@@ -1,15 +1,15 @@
-"""A bounded ring buffer of bytes: one for each direction of a connection."""
+"""A bounded ring buffer of bytes, used for each direction of a connection."""
 
 from __future__ import annotations
 
 
 class RingBuffer:
-    """Bytes in the order written, never more than its limit. The memory grows with use, up to the limit."""
+    """A bounded FIFO of bytes. Its memory grows on demand, up to the limit."""
 
-    def __init__(self, limit: int, start: int = 1024) -> None:
+    def __init__(self, limit: int, initial_size: int = 1024) -> None:
         self.limit = limit
-        self._start = min(start, limit)
-        self._data = bytearray(self._start)
+        self._initial_size = min(initial_size, limit)
+        self._data = bytearray(self._initial_size)
         self._head = self._size = 0
 
     def __len__(self) -> int:
@@ -17,44 +17,44 @@
 
     @property
     def room(self) -> int:
-        """How many bytes may still be written."""
+        """The number of bytes that may still be written."""
         return self.limit - self._size
 
     def write(self, data: bytes) -> None:
-        """Append bytes, which must fit."""
+        """Append bytes. Raise BufferError if they do not fit."""
         if len(data) > self.room:
-            raise BufferError(f"{len(data)} bytes do not fit into {self.room}")
+            raise BufferError(f"ring buffer is full: {len(data)} bytes to write, {self.room} bytes free")
         if self._size + len(data) > len(self._data):
             self._grow(self._size + len(data))
         tail = (self._head + self._size) % len(self._data)
-        first = min(len(data), len(self._data) - tail)
-        self._data[tail : tail + first] = data[:first]
-        self._data[: len(data) - first] = data[first:]
+        first_part = min(len(data), len(self._data) - tail)
+        self._data[tail : tail + first_part] = data[:first_part]
+        self._data[: len(data) - first_part] = data[first_part:]
         self._size += len(data)
 
-    def peek(self, count: int, start: int = 0) -> bytes:
-        """Up to so many bytes from that place on, which stay."""
-        count = max(0, min(count, self._size - start))
-        at = (self._head + start) % len(self._data)
-        first = min(count, len(self._data) - at)
-        return bytes(self._data[at : at + first]) + bytes(self._data[: count - first])
+    def peek(self, count: int, offset: int = 0) -> bytes:
+        """Return up to `count` bytes from an offset on, without removing them."""
+        count = max(0, min(count, self._size - offset))
+        begin = (self._head + offset) % len(self._data)
+        first_part = min(count, len(self._data) - begin)
+        return bytes(self._data[begin : begin + first_part]) + bytes(self._data[: count - first_part])
 
     def read(self, count: int) -> bytes:
-        """Up to so many bytes, which are gone then."""
+        """Remove and return up to `count` bytes."""
         data = self.peek(count)
         self._head = (self._head + len(data)) % len(self._data)
         self._size -= len(data)
-        if not self._size and len(self._data) > self._start:
-            # Guards against a connection that holds the memory of its largest message for good.
-            self._data, self._head = bytearray(self._start), 0
+        if not self._size and len(self._data) > self._initial_size:
+            # Release the memory: a connection must not keep that of its largest message for good.
+            self._data, self._head = bytearray(self._initial_size), 0
         return data
 
-    def find(self, mark: bytes, within: int) -> int:
-        """Where a mark begins among the first bytes, or -1."""
-        return self.peek(within).find(mark)
+    def find(self, pattern: bytes, within: int) -> int:
+        """Return the offset of a pattern among the first `within` bytes, or -1."""
+        return self.peek(within).find(pattern)
 
-    def _grow(self, least: int) -> None:
+    def _grow(self, min_size: int) -> None:
         data = self.peek(self._size)
-        self._data = bytearray(min(self.limit, max(least, 2 * len(self._data))))
+        self._data = bytearray(min(self.limit, max(min_size, 2 * len(self._data))))
         self._data[: len(data)] = data
         self._head = 0
--- a/rowanrack/net/stream.py
+++ b/rowanrack/net/stream.py
@@ -1,4 +1,4 @@
-"""A byte stream over asyncio's, with one bounded ring buffer in each direction."""
+"""A byte stream over an asyncio connection, with a bounded ring buffer in each direction."""
 
 from __future__ import annotations
 
@@ -11,59 +11,63 @@
 
 from rowanrack.net.ring import RingBuffer
 
-CHUNK = 16 * 1024
-RING_LIMIT = 96 * 1024
-UNSENT_S = 1.0  # for which what is written and unsent may hold up a close
+READ_CHUNK_BYTES = 16 * 1024
+MAX_BUFFER_BYTES = 96 * 1024
+UNSENT_DATA_TIMEOUT_S = 1.0  # for which unsent data may delay a close
 
 
 class CountingReader(asyncio.StreamReader):
-    """asyncio's reader, which also says how much has come in."""
+    """A StreamReader that also counts the bytes received."""
 
-    came = 0
+    received_bytes = 0
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
-        """Called by the transport."""
-        held = bytes(data)
-        self.came += len(held)
-        super().feed_data(held)
+        """Count and buffer received bytes; called by the transport."""
+        received = bytes(data)
+        self.received_bytes += len(received)
+        super().feed_data(received)
 
 
 def stream_protocol(
-    accept: Callable[[Stream], None], limit: int = RING_LIMIT
+    accept: Callable[[Stream], None], buffer_limit: int = MAX_BUFFER_BYTES
 ) -> asyncio.StreamReaderProtocol:
-    """The protocol of a connection that was accepted; it is handed over as a stream."""
-    reader = CountingReader(limit=CHUNK)
-    return asyncio.StreamReaderProtocol(reader, lambda _, writer: accept(Stream(reader, writer, limit)))
+    """Return the protocol of an accepted connection, which passes it to `accept` as a stream."""
+    reader = CountingReader(limit=READ_CHUNK_BYTES)
+    return asyncio.StreamReaderProtocol(
+        reader, lambda _, writer: accept(Stream(reader, writer, buffer_limit))
+    )
 
 
 class Stream:
-    """One connection. Reads fill the inward ring; writes pass the outward ring and reach the kernel."""
+    """A connection. `fill` reads into `inward`; `send` writes through `send_buffer` to the kernel."""
 
-    def __init__(self, reader: CountingReader, writer: asyncio.StreamWriter, limit: int = RING_LIMIT) -> None:
+    def __init__(
+        self, reader: CountingReader, writer: asyncio.StreamWriter, buffer_limit: int = MAX_BUFFER_BYTES
+    ) -> None:
         self._reader, self._writer = reader, writer
-        self._read = 0
-        self._held_back = 0  # bytes of the present `send` that no buffer holds yet
-        self.inward, self.outward = RingBuffer(limit), RingBuffer(limit)
-        # `flush` then returns only when the kernel has every byte: the proof that a call was written whole.
+        self._read_bytes = 0
+        self._unbuffered_bytes = 0  # bytes of the current `send` that are in no buffer yet
+        self.inward, self.send_buffer = RingBuffer(buffer_limit), RingBuffer(buffer_limit)
+        # `drain` then returns only when the kernel has every byte: proof that a call was written completely.
         writer.transport.set_write_buffer_limits(high=0)
 
     @classmethod
     async def connect(cls, host: str, port: int) -> Stream:
         """Open a connection."""
-        loop, reader = asyncio.get_running_loop(), CountingReader(limit=CHUNK)
+        loop, reader = asyncio.get_running_loop(), CountingReader(limit=READ_CHUNK_BYTES)
         protocol = asyncio.StreamReaderProtocol(reader)
         transport, _ = await loop.create_connection(lambda: protocol, host, port)
         return cls(reader, asyncio.StreamWriter(transport, protocol, reader, loop))
 
     @property
     def unread(self) -> bool:
-        """Whether anything has come in that is not read yet, be it still in the kernel."""
-        return bool(len(self.inward)) or self.unread_outside
+        """Whether there is unread input, even if it is still in the kernel."""
+        return bool(len(self.inward)) or self.unread_beyond_buffer
 
     @property
-    def unread_outside(self) -> bool:
-        """The same, but for what stands in the inward ring already."""
-        if self._reader.came > self._read:
+    def unread_beyond_buffer(self) -> bool:
+        """Whether there is unread input that is not in the inward buffer yet."""
+        if self._reader.received_bytes > self._read_bytes:
             return True
         sock = self._writer.get_extra_info("socket")
         if sock is None or sock.fileno() < 0:
@@ -73,66 +77,68 @@
         return bool(poll.poll(0))
 
     async def fill(self) -> bool:
-        """Wait for more bytes in the inward ring; False at the end of the stream."""
-        data = await self._reader.read(min(CHUNK, self.inward.room))
-        self._read += len(data)
+        """Wait for more bytes in the inward buffer; return False at the end of the stream."""
+        data = await self._reader.read(min(READ_CHUNK_BYTES, self.inward.room))
+        self._read_bytes += len(data)
         self.inward.write(data)
         return bool(data)
 
-    async def skip(self) -> int:
-        """Read and drop some bytes; 0 at the end of the stream."""
-        data = await self._reader.read(CHUNK)
-        self._read += len(data)
+    async def discard_input(self) -> int:
+        """Read and discard some bytes; return their number, or 0 at the end of the stream."""
+        data = await self._reader.read(READ_CHUNK_BYTES)
+        self._read_bytes += len(data)
         return len(data)
 
     @property
-    def came(self) -> bool:
-        """Whether anything has ever come in."""
-        return self._reader.came > 0
+    def has_received(self) -> bool:
+        """Whether any byte has been received."""
+        return self._reader.received_bytes > 0
 
     async def fill_quietly(self) -> None:
-        """Wait until anything arrives or the stream ends, however it ends."""
+        """Wait until anything arrives or the stream ends, also by an error."""
         with suppress(OSError):
             await self.fill()
 
     async def send(self, data: bytes) -> None:
-        """Write it all; on return the kernel has the last byte."""
-        at, self._held_back = 0, len(data)
-        while at < len(data) or len(self.outward):
-            step = min(self.outward.room, len(data) - at)
-            self.outward.write(data[at : at + step])
-            at += step
-            self._held_back -= step
-            self._writer.write(self.outward.read(CHUNK))
+        """Write all data; on return the kernel has the last byte."""
+        position, self._unbuffered_bytes = 0, len(data)
+        while position < len(data) or len(self.send_buffer):
+            step = min(self.send_buffer.room, len(data) - position)
+            self.send_buffer.write(data[position : position + step])
+            position += step
+            self._unbuffered_bytes -= step
+            self._writer.write(self.send_buffer.read(READ_CHUNK_BYTES))
             await self._writer.drain()
         if self.closing:
-            raise ConnectionResetError("closed while writing")
+            raise ConnectionResetError("connection was closed while writing")
 
     @property
     def unsent(self) -> bool:
-        """Whether the kernel lacks a byte of what is being written. Not known once the connection is lost."""
-        return bool(self._held_back + len(self.outward) + self._writer.transport.get_write_buffer_size())
+        """Whether the kernel lacks a byte of what is being written; unknown once the connection is lost."""
+        return bool(
+            self._unbuffered_bytes + len(self.send_buffer) + self._writer.transport.get_write_buffer_size()
+        )
 
     def send_now(self, data: bytes) -> None:
-        """Write between two sends without waiting: the kernel gets it in this very call, if it has room.
+        """Write between two sends without waiting: the kernel gets the data in this call, if it has room.
 
-        Guards what must go out in time against a loop that comes to everything late.
+        Data that must go out in time does not depend on a late event loop this way.
         """
         self._writer.write(data)
 
     @property
     def descriptor(self) -> int:
-        """The number of its socket, or -1 once that is closed."""
+        """The file descriptor of the socket, or -1 once it is closed."""
         sock = self._writer.get_extra_info("socket")
         return -1 if sock is None or self.closing else int(sock.fileno())
 
     def pause(self) -> None:
-        """Leave what comes in to the kernel for now: many small pieces become one."""
+        """Pause reading: the kernel collects many small pieces meanwhile."""
         if not self.closing:
             self._writer.transport.pause_reading()  # type: ignore[attr-defined]
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if not self.closing:
             self._writer.transport.resume_reading()  # type: ignore[attr-defined]
 
@@ -147,11 +153,11 @@
         return self._writer.transport.is_closing()
 
     def abort(self) -> None:
-        """Close at once; what is unsent is dropped."""
+        """Close at once; unsent data is discarded."""
         self._writer.transport.abort()
 
-    def end_sending(self) -> None:
-        """Say that nothing more is sent; what comes in can still be read."""
+    def shutdown_write(self) -> None:
+        """Shut down the sending side; input can still be read."""
         self._writer.write_eof()
 
     def send_last(self, data: bytes) -> None:
@@ -159,25 +165,25 @@
         self._writer.write(data)
 
     def close_at_once(self) -> None:
-        """Close, and tell the other side now rather than in the loop's next turn.
+        """Close, and notify the other side now rather than in the next event loop iteration.
 
-        Guards a request that would be written in between: its client hands it in again once it sees the end.
+        Otherwise a client could write a request in between; it repeats that elsewhere once it sees the end.
         """
         transport = self._writer.transport
         if transport.get_write_buffer_size():
-            # What is unsent goes out first, if the other side reads it: an ended socket would take no more.
-            asyncio.get_running_loop().call_later(UNSENT_S, transport.abort)
+            # Unsent data goes out first, if the other side reads it: a shut-down socket takes no more.
+            asyncio.get_running_loop().call_later(UNSENT_DATA_TIMEOUT_S, transport.abort)
         else:
             with suppress(OSError, AttributeError):
                 self._writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
         self._writer.close()
 
     def close_soon(self) -> None:
-        """Close after what is written has gone out, without waiting for it."""
+        """Close once all written data has gone out, without waiting for that."""
         self._writer.close()
 
     async def close(self) -> None:
-        """Close after what is written has gone out."""
+        """Close once all written data has gone out, and wait for that."""
         self._writer.close()
         with suppress(OSError):
             await self._writer.wait_closed()
--- a/tests/contracts/test_notes_transports.py
+++ b/tests/contracts/test_notes_transports.py
@@ -13,8 +13,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
 from rowanrack.model.engine import Engine
-from rowanrack.net.memory_peers import Hub, Weather
-from rowanrack.net.peers import EACH_MOST, PeerPort
+from rowanrack.net.memory_peers import InMemoryNetwork, NetworkFaults
+from rowanrack.net.peers import MAX_NOTES_PER_PEER_PER_S, PeerPort
 from rowanspindle.gossip import LIVE_US, WORK, Gossip
 from rowanspindle.notes import MAX_NOTE_BYTES, SEQUENCE_NUMBERS, Fact, FactKind, Note, encode_note
 from tests.test_notes import FLEET, free_port
@@ -73,7 +73,7 @@
                 udp.peer.sendto(encode_note(note(n)), udp.own)
             udp.stranger.sendto(b"", udp.own)
             await udp.until(lambda: one.dropped + len(udp.got) >= len(BAD) + 4 + 1 + 100 + 1)
-            assert len(udp.got) == 1 + EACH_MOST
+            assert len(udp.got) == 1 + MAX_NOTES_PER_PEER_PER_S
             udp.now += 10_000_000
             two.open()  # at a hot restart: each datagram comes to one of the two
             before = len(udp.got)
@@ -99,15 +99,15 @@
 class Trusting(PeerPort):
     """Broken on purpose: a stranger is taken for the first peer."""
 
-    def _take(self, data: bytes, source: tuple[str, int]) -> None:
-        known = source if source in self._numbers else next(iter(self._numbers))
-        super()._take(data, known)
+    def _process_datagram(self, data: bytes, source: tuple[str, int]) -> None:
+        known = source if source in self._peer_numbers else next(iter(self._peer_numbers))
+        super()._process_datagram(data, known)
 
 
 class Unbounded(PeerPort):
     """Broken on purpose: a flood comes through."""
 
-    def _within(self, number: int) -> bool:
+    def _take_token(self, number: int) -> bool:
         return True
 
 
@@ -117,29 +117,29 @@
         on_udp(twin)
 
 
-class Alters(Hub):
+class Alters(InMemoryNetwork):
     """Broken on purpose: one value becomes another on the way."""
 
-    def _arrive(self, number: int, other: int, data: bytes) -> None:
-        super()._arrive(number, other, data[:-1] + bytes([data[-1] ^ 1]))
+    def _deliver(self, number: int, other: int, data: bytes) -> None:
+        super()._deliver(number, other, data[:-1] + bytes([data[-1] ^ 1]))
 
 
 class Believing(RuleBasedStateMachine):
     """Three senders' beliefs over a rough way, against all that was ever told, and when."""
 
-    hub_type: type[Hub] = Hub
+    hub_type: type[InMemoryNetwork] = InMemoryNetwork
 
     @initialize(
         seed=st.integers(0, 999), lost=st.sampled_from([0.0, 0.3]), late=st.sampled_from([100, 900_000])
     )
     def begin(self, seed: int, lost: float, late: int) -> None:
         self.engine, self.late = Engine(1_000_000), late
-        self.hub = self.hub_type(self.engine.after, Random(seed), Weather(lost, 0.3, 100, late))
+        self.network = self.hub_type(self.engine.after, Random(seed), NetworkFaults(lost, 0.3, 100, late))
         self.beliefs = [Gossip(FLEET) for _ in range(3)]
         self.told: list[list[tuple[int, int]]] = [[] for _ in range(3)]  # values, and when they were told
         self.numbers = [0] * 3
         for n in range(3):
-            self.hub.open(n, lambda peer, heard, n=n: self.hear(n, peer, heard))  # type: ignore[misc]
+            self.network.open(n, lambda peer, heard, n=n: self.hear(n, peer, heard))  # type: ignore[misc]
 
     def hear(self, n: int, peer: int, heard: Note) -> None:
         assert peer != n
@@ -149,7 +149,7 @@
     def tells(self, n: int, value: int) -> None:
         self.numbers[n] = (self.numbers[n] + 1) % SEQUENCE_NUMBERS
         self.told[n].append((value, self.engine.now))
-        self.hub.tell(n, note(self.numbers[n], value))
+        self.network.send(n, note(self.numbers[n], value))
 
     @rule(n=st.integers(0, 2), number=st.integers(0, 255))
     def begins_again(self, n: int, number: int) -> None:
@@ -165,7 +165,7 @@
         """What was told ages out, and whoever tells something then is heard, whatever its number."""
         self.engine.run(self.engine.now + LIVE_US + WORK * self.beliefs[0].beat_us + self.late)
         assert all(b.active_senders(7, 1, self.engine.now) is None for b in self.beliefs)
-        self.hub.weather = Weather()
+        self.network.faults = NetworkFaults()
         for n in range(3):
             self.tells(n, n + 1)
         self.engine.run(self.engine.now + 1_000)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -12,7 +12,7 @@
 
 from rowanrack.core.messages import Attempt, Batch, Ending
 from rowanrack.net.http import Reply
-from rowanrack.net.pool import REST_US
+from rowanrack.net.pool import RESPONSE_REST_TIMEOUT_US
 from rowanrack.net.stream import CountingReader, Stream
 from rowanspindle import Result, UpdateScope
 from tests.rig import Rig, answers, instance, on_loop
@@ -336,11 +336,11 @@
         await endpoint.asked.wait()
         (caller,) = rig.sender.pool._callers.values()
         endpoint.write_now(begun)
-        while bytes(caller._raw) != begun:
+        while bytes(caller._response_head) != begun:
             await asyncio.sleep(0)
         now_us = clock.now_us
         endpoint.write_now(rest)
-        monkeypatch.setattr(clock, "now_us", lambda: now_us() + REST_US + 50_000)
+        monkeypatch.setattr(clock, "now_us", lambda: now_us() + RESPONSE_REST_TIMEOUT_US + 50_000)
         exchange.pump()  # fires the timer of the rest
         await rig.until(lambda: rig.results[:1] == [Result.FULL])
 
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -15,7 +15,7 @@
 from rowanrack.net import listener as net_listener
 from rowanrack.net.http import Reply
 from rowanrack.net.listener import State
-from rowanrack.net.rare_log import EVERY_S, RareLog
+from rowanrack.net.rare_log import WARNING_INTERVAL_S, RareLog
 from rowanrack.net.stream import Stream
 from rowanspindle import UpdateScope
 from tests.rig import Rig, answers, instance, on_loop, resp, silent
@@ -126,7 +126,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Closing would reset it, and a client that still writes would never read the error."""
-    monkeypatch.setattr(net_listener, "LINGER_BYTES", 0)
+    monkeypatch.setattr(net_listener, "MAX_LINGER_BYTES", 0)
     async with Rig(tmp_path) as rig:
         client = await rig.client()
         await client.stream.send(b"*x\r\n" + bytes(50_000))
@@ -162,7 +162,7 @@
 @on_loop
 async def test_silent_connections_do_not_keep_the_usual_clients_out(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
-        rig.sender.fronts[0][0].most = 4
+        rig.sender.fronts[0][0].max_connections = 4
         for _ in range(12):
             await rig.client()
         asking = [asyncio.create_task((await rig.client()).command("PING")) for _ in range(4)]
@@ -177,7 +177,7 @@
 ) -> None:
     """On a recorded day 215 connections, each used once and under 2 s ago, kept half of all clients out."""
     async with Rig(tmp_path) as rig:
-        rig.sender.fronts[0][0].most = 4
+        rig.sender.fronts[0][0].max_connections = 4
         for _ in range(8):
             client = await rig.client()
             await client.stream.send(said)
@@ -194,13 +194,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, most: int, closed: bool
 ) -> None:
     """Clients that may hold only so many connections kept them idle, and had none left to ask on."""
-    monkeypatch.setattr(net_listener, "LOOK_US", 5000)
-    monkeypatch.setattr(net_listener, "KEPT_US", 0)
+    monkeypatch.setattr(net_listener, "TIMEOUT_CHECK_INTERVAL_US", 5000)
+    monkeypatch.setattr(net_listener, "IDLE_EVICTION_AGE_US", 0)
     async with Rig(tmp_path) as rig:
         clients = [await rig.client() for _ in range(2)]
         for client in clients:
             await client.command("PING")
-        rig.sender.fronts[0][0].most = most
+        rig.sender.fronts[0][0].max_connections = most
         ends = [asyncio.create_task(client.stream.fill()) for client in clients]
         done, _ = await asyncio.wait(ends, timeout=1.5 if closed else 0.1)
         assert len(done) == (2 if closed else 0)
@@ -209,8 +209,8 @@
 @pytest.mark.parametrize(
     ("state", "least_us"),
     [
-        (State.OWING, net_listener.SPARED_US),
-        (State.IDLE, net_listener.KEPT_US),
+        (State.OWING, net_listener.REQUEST_EVICTION_AGE_US),
+        (State.IDLE, net_listener.IDLE_EVICTION_AGE_US),
         (State.LEAVING, 0),
         (State.BUSY, None),
     ],
@@ -226,9 +226,9 @@
         now = front._now()
         if least_us:
             front.streams[served] = state, now - least_us + 100_000
-            assert not front._make_room()
+            assert not front._evict_connection()
         front.streams[served] = state, now - (least_us if least_us is not None else 1 << 40)
-        assert front._make_room() is (least_us is not None)
+        assert front._evict_connection() is (least_us is not None)
         assert served.closing is (least_us is not None)
 
 
@@ -242,7 +242,7 @@
         (served,) = front.streams
         front.mark(served, State.OWING)
         served._reader.feed_data(resp("PING"))
-        assert not front._make_room()
+        assert not front._evict_connection()
         assert await client.raw(b"") == b"+PONG\r\n"
 
 
@@ -271,13 +271,13 @@
 @on_loop
 async def test_bad_input_is_answered_late_but_only_so_often(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
-        rig.sender.fronts[0][0]._penalties = load_shedder.PENALTIES
+        rig.sender.fronts[0][0]._active_penalties = load_shedder.PENALTIES
         loop = asyncio.get_running_loop()
         for held_up in (False, True):
             began = loop.time()
             assert (await (await rig.client()).command("NO")).startswith(b"-ERR unknown command")
             assert (loop.time() - began >= load_shedder.PENALTY_US / 1e6) is held_up
-            rig.sender.fronts[0][0]._penalties = 0
+            rig.sender.fronts[0][0]._active_penalties = 0
 
 
 @on_loop
@@ -298,10 +298,10 @@
 def test_lines_that_outsiders_cause_are_rare(caplog: pytest.LogCaptureFixture) -> None:
     now = [0.0]
     rare = RareLog(logging.getLogger("rare"), lambda: now[0])
-    for at in (0.0, 1.0, 2.0, EVERY_S):
+    for at in (0.0, 1.0, 2.0, WARNING_INTERVAL_S):
         now[0] = at
         rare.warning("refused: %d", int(at))
-    assert caplog.messages == ["refused: 0", "refused: 10 (2 more like it before)"]
+    assert caplog.messages == ["refused: 0", "refused: 10 (2 similar lines suppressed)"]
 
 
 @on_loop
@@ -312,4 +312,4 @@
             await (await rig.client()).command("PING")
         silent_one, answered = front.streams
         front.streams[silent_one], front.streams[answered] = (State.OWING, 0), (State.IDLE, 0)
-        assert front._make_room() and answered.closing and not silent_one.closing
+        assert front._evict_connection() and answered.closing and not silent_one.closing
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,8 +13,8 @@
 
 from rowanrack.net import listener as net_listener
 from rowanrack.net.http import Reply, Request
-from rowanrack.net.listener import AT_ONCE, Listener, State
-from rowanrack.net.stream import CHUNK, Stream, stream_protocol
+from rowanrack.net.listener import ACCEPT_BATCH_COUNT, Listener, State
+from rowanrack.net.stream import READ_CHUNK_BYTES, Stream, stream_protocol
 from tests.rig import Rig, answers, on_loop, resp, silent
 
 OK = Reply(200, {})
@@ -81,7 +81,7 @@
     """Closed after each number of the loop's turns: waiting, accepted, and becoming a stream."""
     async with Rig(tmp_path, answers(OK)) as rig:
         front = rig.sender.fronts[number][0]
-        clients = [Raw(front, REQUESTS[number]) for _ in range(AT_ONCE + 4)]
+        clients = [Raw(front, REQUESTS[number]) for _ in range(ACCEPT_BATCH_COUNT + 4)]
         for client in clients if ends else ():
             client.sock.shutdown(socket.SHUT_WR)
         for _ in range(turns):
@@ -148,7 +148,7 @@
 async def test_a_new_connection_that_says_nothing_is_not_waited_for_long(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[Listener], None]
 ) -> None:
-    monkeypatch.setattr(net_listener, "FIRST_US", 1)
+    monkeypatch.setattr(net_listener, "LEAVING_FIRST_BYTE_TIMEOUT_US", 1)
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
         front.owed_us = 60_000_000
@@ -168,8 +168,14 @@
         front = rig.sender.fronts[0][0]
         client = Raw(front, PING)
         await client.until(front, State.IDLE)
-        command = submit("m0", b"x" * (CHUNK - len(submit("m0", b"x" * (CHUNK - 200))) + CHUNK - 200))
-        assert len(command) == CHUNK
+        command = submit(
+            "m0",
+            b"x"
+            * (
+                READ_CHUNK_BYTES - len(submit("m0", b"x" * (READ_CHUNK_BYTES - 200))) + READ_CHUNK_BYTES - 200
+            ),
+        )
+        assert len(command) == READ_CHUNK_BYTES
         client.say(command, submit("m1", b"x"), submit("m2", b"x"))
         leave(front)
         assert await client.heard() == PONG + b"+OK\r\n" * 3
@@ -215,7 +221,7 @@
         def make_room() -> None:
             for stream, (state, _) in front.streams.items():
                 front.streams[stream] = state, 0
-            made.append(front._make_room())
+            made.append(front._evict_connection())
 
         step_of(front, State.IDLE, make_room)
         client = Raw(front, PING * 2)
@@ -235,13 +241,15 @@
             await asyncio.sleep(0)
         for stream, (state, _) in front.streams.items():
             front.streams[stream] = state, 0
-        assert front._make_room() and owing in front.streams and not owing.closing
+        assert front._evict_connection() and owing in front.streams and not owing.closing
         assert await still.heard() == b""
         begun.say(PING[5:])
         await begun.until(front, State.IDLE)
 
 
-@pytest.mark.parametrize("rested_us", [0, net_listener.REST_US - 1, net_listener.OWED_US - 1])
+@pytest.mark.parametrize(
+    "rested_us", [0, net_listener.FIRST_BYTE_GRACE_US - 1, net_listener.REQUEST_TIMEOUT_US - 1]
+)
 @on_loop
 async def test_the_time_for_a_request_runs_from_its_first_byte(tmp_path: Path, rested_us: int) -> None:
     """It ran from connecting. A late first byte still ends in the time that is owed to bad input."""
@@ -254,8 +262,8 @@
         client.say(PING[:5])
         await client.until(front, State.OWING)
         _, since = front.streams[stream]
-        late = rested_us >= net_listener.REST_US
-        assert since == opened + net_listener.REST_US if late else since >= opened + rested_us
+        late = rested_us >= net_listener.FIRST_BYTE_GRACE_US
+        assert since == opened + net_listener.FIRST_BYTE_GRACE_US if late else since >= opened + rested_us
 
 
 @on_loop
@@ -318,11 +326,11 @@
         for _ in range(20):
             await asyncio.sleep(0)
             assert len(stream.inward) <= stream.inward.limit
-            assert len(stream._reader._buffer) <= 2 * CHUNK + READ_MOST  # type: ignore[attr-defined]
+            assert len(stream._reader._buffer) <= 2 * READ_CHUNK_BYTES + READ_MOST  # type: ignore[attr-defined]
         linger = (1).to_bytes(4, "little") + bytes(4)
         if reset:
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         client.sock.close()
         while front.streams:
             await asyncio.sleep(0)
-        assert not (front._strangers or front._later or front._told_off)
+        assert not (front._new_clients or front._paused or front._rejected)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -29,7 +29,7 @@
         (serving,) = stand_in.tasks
         rig.sender.exchange.list_instances(UpdateScope.DELTA, [replace(rig.known[0], status=status)])
         await asyncio.wait({serving})  # it has seen the end of its connection
-        assert not pool.idle and not pool._aged
+        assert not pool.idle and not pool._idle_by_age
 
 
 @on_loop
@@ -63,7 +63,7 @@
             await rig.ended(f"m{n}")
         exchange.list_instances(UpdateScope.FULL, ())
         exchange.pump()
-        assert not rig.sender.pool.idle and not rig.sender.pool._aged and not exchange._waits
+        assert not rig.sender.pool.idle and not rig.sender.pool._idle_by_age and not exchange._waits
         forwarder = exchange.forwarder
         assert not forwarder.endpoints and not forwarder.unlisted and not forwarder.attempts
         assert not exchange.table.names() and not exchange._refs
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,8 +17,13 @@
 from rowanrack.load import load_shedder as load
 from rowanrack.load.load_shedder import Level, LoadShedder
 from rowanrack.load.metered import CpuMeteredCoroutine
-from rowanrack.net.fair_scheduling import CLIENTS, FEW, ConnectionPriority, FairSelector
-from rowanrack.net.listener import AT_ONCE, OWED_US
+from rowanrack.net.fair_scheduling import (
+    MAX_CLIENTS_PER_ITERATION,
+    MAX_NEW_CLIENTS_OVER_SHARE,
+    ConnectionPriority,
+    FairSelector,
+)
+from rowanrack.net.listener import ACCEPT_BATCH_COUNT, REQUEST_TIMEOUT_US
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import LoopClock
 from tests.rig import Rig, on_loop, resp, silent
@@ -175,14 +180,14 @@
         other.send(b"x")
         turns.register(mine, selectors.EVENT_READ, (mine, other))
         if rank is not ConnectionPriority.INTERNAL:
-            turns.rank(mine.fileno(), rank, used_us)
+            turns.set_priority(mine.fileno(), rank, used_us)
     return [mine.fileno() for mine, _ in pairs]
 
 
 @pytest.fixture
 def turns() -> Iterator[FairSelector]:
     made = FairSelector()
-    made.keeper = Keeper()
+    made.delay_monitor = Keeper()
     yield made
     for key in list(made.get_map().values()):
         made.unregister(key.fileobj)
@@ -202,16 +207,18 @@
     )
     ours = watched(turns, ConnectionPriority.INTERNAL, 50)
     now = served(turns)
-    assert set(now[:50]) == set(ours) and len(now) == 50 + 2 * CLIENTS
-    assert set(now[50 : 50 + CLIENTS]) <= set(clients) and set(now[50 + CLIENTS :]) <= set(strangers)
+    assert set(now[:50]) == set(ours) and len(now) == 50 + 2 * MAX_CLIENTS_PER_ITERATION
+    assert set(now[50 : 50 + MAX_CLIENTS_PER_ITERATION]) <= set(clients) and set(
+        now[50 + MAX_CLIENTS_PER_ITERATION :]
+    ) <= set(strangers)
 
 
 def test_each_client_that_is_ready_has_its_turn(turns: FairSelector) -> None:
     """Nobody reads, so that all stay ready: those that have waited longest go first."""
-    clients = watched(turns, ConnectionPriority.CLIENT, 5 * CLIENTS)
+    clients = watched(turns, ConnectionPriority.CLIENT, 5 * MAX_CLIENTS_PER_ITERATION)
     for _ in range(3):
         assert {fd for _ in range(5) for fd in served(turns)} == set(clients)
-    keeper = turns.keeper
+    keeper = turns.delay_monitor
     assert isinstance(keeper, Keeper) and max(keeper.lates) > 0  # the wait is told
 
 
@@ -219,31 +226,31 @@
     turns: FairSelector,
 ) -> None:
     drips = watched(turns, ConnectionPriority.NEW_CLIENT, 30, used_us=5 * MS)
-    new = watched(turns, ConnectionPriority.NEW_CLIENT, FEW)
-    assert isinstance(turns.keeper, Keeper)
-    turns.keeper.pace = 1
+    new = watched(turns, ConnectionPriority.NEW_CLIENT, MAX_NEW_CLIENTS_OVER_SHARE)
+    assert isinstance(turns.delay_monitor, Keeper)
+    turns.delay_monitor.pace = 1
     assert all(set(served(turns)) == set(new) for _ in range(5))
-    assert not turns.keeper.lates and set(drips).isdisjoint(served(turns))
-    turns.keeper.pace = 0
-    assert set(new) <= set(served(turns)) and not turns.keeper.lates
+    assert not turns.delay_monitor.lates and set(drips).isdisjoint(served(turns))
+    turns.delay_monitor.pace = 0
+    assert set(new) <= set(served(turns)) and not turns.delay_monitor.lates
     for descriptor in drips:
-        turns.rank(descriptor, ConnectionPriority.NEW_CLIENT)  # as if all were new
-    assert [served(turns) for _ in range(2)] and turns.keeper.lates
+        turns.set_priority(descriptor, ConnectionPriority.NEW_CLIENT)  # as if all were new
+    assert [served(turns) for _ in range(2)] and turns.delay_monitor.lates
 
 
 def test_strangers_that_have_had_their_turns_make_the_core_no_fuller(turns: FairSelector) -> None:
     """200 that sent single bytes had nearly all messages of usual clients refused early."""
-    watched(turns, ConnectionPriority.NEW_CLIENT, 5 * CLIENTS, used_us=5 * MS)
+    watched(turns, ConnectionPriority.NEW_CLIENT, 5 * MAX_CLIENTS_PER_ITERATION, used_us=5 * MS)
     for _ in range(10):
-        assert len(served(turns)) == CLIENTS
-    assert isinstance(turns.keeper, Keeper) and not turns.keeper.lates
+        assert len(served(turns)) == MAX_CLIENTS_PER_ITERATION
+    assert isinstance(turns.delay_monitor, Keeper) and not turns.delay_monitor.lates
 
 
 def test_a_rank_ends_with_its_connection(turns: FairSelector) -> None:
     (descriptor,) = watched(turns, ConnectionPriority.NEW_CLIENT, 1)
     key = turns.unregister(descriptor)
     turns.register(key.fileobj, selectors.EVENT_READ, key.data)  # as something else under the same number
-    watched(turns, ConnectionPriority.CLIENT, 2 * CLIENTS)
+    watched(turns, ConnectionPriority.CLIENT, 2 * MAX_CLIENTS_PER_ITERATION)
     assert served(turns)[0] == descriptor
 
 
@@ -263,7 +270,7 @@
                 client.stream.send_now(bytes([byte]))
                 await asyncio.sleep(0.0002)
         assert asyncio.get_running_loop().time() - began < 1.9  # it would be closed after 2 s in any case
-        assert "takes too much time to read" in caplog.text
+        assert "reading its request takes too much time" in caplog.text
         usual = await rig.client()
         assert await usual.submit("m1") == b"+OK\r\n"
 
@@ -305,9 +312,9 @@
 
         client = await rig.client()
         await client.stream.send(resp("PING")[:-1])
-        while not any(stream.came for stream in front.streams):
+        while not any(stream.has_received for stream in front.streams):
             await asyncio.sleep(0)
-        front._now, lost_us = now, 3 * OWED_US  # type: ignore[method-assign]
+        front._now, lost_us = now, 3 * REQUEST_TIMEOUT_US  # type: ignore[method-assign]
         for _ in range(3):
             await looks.get()
         assert await client.raw(resp("PING")[-1:]) == b"+PONG\r\n"
@@ -321,8 +328,8 @@
     async with Rig(tmp_path, silent) as rig:
         loop, front, steps = asyncio.get_running_loop(), rig.sender.fronts[0][0], list[float]()
         rig.sender.exchange.load_shedder.level = Level.TIGHT
-        charge = front._charge
-        front._charge = lambda stream, us: (steps.append(us), charge(stream, us))[1]  # type: ignore
+        charge = front._charge_cpu
+        front._charge_cpu = lambda stream, us: (steps.append(us), charge(stream, us))[1]  # type: ignore
         began, client, sent = loop.time(), await rig.client(), 0
         with contextlib.suppress(OSError):
             for byte in b"*5\r\n$6\r\nSUBMIT\r\n$9000\r\n" + b"x" * 8000:
@@ -346,25 +353,25 @@
         usual, bad, quiet = [await rig.client() for _ in range(3)]
         assert await usual.submit("m1") == b"+OK\r\n"
         assert (await bad.command("NO")).startswith(b"-ERR")
-        assert not wasted and len(front._strangers) == 2
+        assert not wasted and len(front._new_clients) == 2
         for client in (usual, bad, quiet):
             client.stream.abort()
-        while front._strangers:
+        while front._new_clients:
             await asyncio.sleep(0.001)
-        assert len(wasted) == 1 and wasted[0] > 0 and not front._told_off
+        assert len(wasted) == 1 and wasted[0] > 0 and not front._rejected
 
 
 @on_loop
 async def test_clients_that_leave_at_once_cost_no_connection(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         front, accepted = rig.sender.fronts[0][0], list[object]()
-        plain = front._accept
+        plain = front._start_serving
 
         def accept(stream: Stream) -> None:
             accepted.append(stream)
             plain(stream)
 
-        front._accept = accept  # type: ignore[method-assign]
+        front._start_serving = accept  # type: ignore[method-assign]
         for _ in range(40):
             socket.create_connection(("127.0.0.1", front.port)).close()
         client = await rig.client()
@@ -384,7 +391,7 @@
             turns += 1
             await asyncio.sleep(0)
         last.close()
-        assert turns >= 300 // AT_ONCE
+        assert turns >= 300 // ACCEPT_BATCH_COUNT
         assert front.load_shedder._debt_us > 0
 
 
@@ -541,9 +548,9 @@
         client = await rig.client()
         assert await client.command("PING") == b"+PONG\r\n"
         (stream,) = front.streams
-        assert stream not in front._strangers and min(spent) < 0
+        assert stream not in front._new_clients and min(spent) < 0
         counted = len(spent)
         assert await client.command("PING") == b"+PONG\r\n"
         assert len(spent) == counted
         assert (await client.command("NO")).startswith(b"-ERR")
-        assert stream in front._strangers
+        assert stream in front._new_clients
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from rowanrack.config import _peers
-from rowanrack.net.peers import EACH_MOST, PeerPort
+from rowanrack.net.peers import MAX_NOTES_PER_PEER_PER_S, PeerPort
 from rowanspindle import Accept, BroadcastNote, NoteReceived, Result, Send
 from rowanspindle.gossip import BEAT_US, LISTEN, LIVE_US, WORK, Gossip
 from rowanspindle.notes import (
@@ -263,9 +263,9 @@
             peer.sendto(encode_note(Note(number, note.facts)), own)
         peer.sendto(b"the last", own)
         async with asyncio.timeout(5):
-            while port.dropped < 3 + 101 - (EACH_MOST - 3):
+            while port.dropped < 3 + 101 - (MAX_NOTES_PER_PEER_PER_S - 3):
                 await asyncio.sleep(0.01)
-        assert got.qsize() == EACH_MOST - 3
+        assert got.qsize() == MAX_NOTES_PER_PEER_PER_S - 3
         port.tell(note)
         assert decode_note(await asyncio.wait_for(asyncio.to_thread(peer.recv, 300), 5)) == note
         assert len([r for r in caplog.records if "notes" in r.message]) == 1
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -44,7 +44,7 @@
 @on_loop
 async def test_idle_connections_stay_under_their_limit(tmp_path: Path) -> None:
     async with Rig(tmp_path, *(answers(OK) for _ in range(4))) as rig:
-        rig.sender.pool._idle_most = 2
+        rig.sender.pool._max_idle = 2
         rig.sender.exchange.list_instances(
             UpdateScope.FULL, [replace(i, dest=n) for n, i in enumerate(rig.known)]
         )
