--- a/tests/contracts/test_notes_transports.py
+++ b/tests/contracts/test_notes_transports.py
@@ -1,4 +1,7 @@
-"""What a way for notes promises: lost, doubled, late or out of turn, but never altered or a stranger's."""
+"""Contract of note transports: notes may be lost, duplicated, delayed or reordered, but are never altered.
+
+No note of an unknown sender is delivered either.
+"""
 
 from __future__ import annotations
 
@@ -19,25 +22,39 @@
 from rowanspindle.notes import MAX_NOTE_BYTES, SEQUENCE_NUMBERS, Fact, FactKind, Note, encode_note
 from tests.test_notes import FLEET, free_port
 
-BAD = [b"", b"\xa1", b"noise", b"\xa2\x01\x01\x01\x01", b"\xa1\x01\x09\x01\x01", b"x" * (MAX_NOTE_BYTES + 1),
-       b"y" * 9000, encode_note(Note(1, (Fact(FactKind.WORK, 7, 2),)))[:-1]]  # fmt: skip
+INVALID_DATAGRAMS = [
+    b"",
+    b"\xa1",
+    b"noise",
+    b"\xa2\x01\x01\x01\x01",
+    b"\xa1\x01\x09\x01\x01",
+    b"x" * (MAX_NOTE_BYTES + 1),
+    b"y" * 9000,
+    encode_note(Note(1, (Fact(FactKind.WORK, 7, 2),)))[:-1],
+]
 
 
 def note(number: int, value: int = 2) -> Note:
     return Note(number % SEQUENCE_NUMBERS, (Fact(FactKind.WORK, 7, value),))
 
 
-class Udp:
-    """Two real ports, a stranger, and a clock in hand."""
+class UdpPorts:
+    """Two real ports, a peer, an unknown sender, and a clock that the test sets."""
 
     def __init__(self, port: type[PeerPort] = PeerPort) -> None:
-        self.now, self.got = 0, list[tuple[int, Note]]()
-        self.peer, self.stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-        for each in (self.peer, self.stranger):
-            each.bind(("127.0.0.1", 0))
-        self.own, there = ("127.0.0.1", free_port()), self.peer.getsockname()
+        self.now, self.received = 0, list[tuple[int, Note]]()
+        self.peer, self.unknown_sender = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
+        for sock in (self.peer, self.unknown_sender):
+            sock.bind(("127.0.0.1", 0))
+        self.own, peer_address = ("127.0.0.1", free_port()), self.peer.getsockname()
         self.ports = [
-            port(self.own, [self.own, there], there, lambda n, m: self.got.append((n, m)), lambda: self.now)
+            port(
+                self.own,
+                [self.own, peer_address],
+                peer_address,
+                lambda n, m: self.received.append((n, m)),
+                lambda: self.now,
+            )
             for _ in range(2)
         ]
 
@@ -49,159 +66,173 @@
     def close(self) -> None:
         for port in self.ports:
             port.close()
-        for each in (self.peer, self.stranger):
-            each.close()
+        for sock in (self.peer, self.unknown_sender):
+            sock.close()
 
 
-def on_udp(port: type[PeerPort] = PeerPort) -> None:
-    """The contract over real sockets: raises AssertionError or TimeoutError where it is broken."""
+def check_udp_contract(port: type[PeerPort] = PeerPort) -> None:
+    """Check the contract on real sockets; raise AssertionError or TimeoutError on a violation."""
 
     async def run() -> None:
-        udp = Udp(port)
-        one, two = udp.ports
+        ports = UdpPorts(port)
+        one, two = ports.ports
         one.open()
         try:
-            for data in BAD:
-                udp.peer.sendto(data, udp.own)
-            for data in (encode_note(note(1)), *BAD[:3]):
-                udp.stranger.sendto(data, udp.own)
-            udp.peer.sendto(encode_note(note(9)), udp.own)
-            await udp.until(lambda: bool(udp.got))
-            assert udp.got == [(1, note(9))] and one.dropped == len(BAD) + 4
-            udp.now += 10_000_000
-            for n in range(100):  # a flood, of which a second's worth is taken
-                udp.peer.sendto(encode_note(note(n)), udp.own)
-            udp.stranger.sendto(b"", udp.own)
-            await udp.until(lambda: one.dropped + len(udp.got) >= len(BAD) + 4 + 1 + 100 + 1)
-            assert len(udp.got) == 1 + MAX_NOTES_PER_PEER_PER_S
-            udp.now += 10_000_000
-            two.open()  # at a hot restart: each datagram comes to one of the two
-            before = len(udp.got)
-            udp.peer.sendto(encode_note(note(11)), udp.own)
-            await udp.until(lambda: len(udp.got) > before)
-            assert udp.got[before:] == [(1, note(11))]
+            for data in INVALID_DATAGRAMS:
+                ports.peer.sendto(data, ports.own)
+            for data in (encode_note(note(1)), *INVALID_DATAGRAMS[:3]):
+                ports.unknown_sender.sendto(data, ports.own)
+            ports.peer.sendto(encode_note(note(9)), ports.own)
+            await ports.until(lambda: bool(ports.received))
+            assert ports.received == [(1, note(9))] and one.dropped == len(INVALID_DATAGRAMS) + 4
+            ports.now += 10_000_000
+            for n in range(100):  # a flood, of which the notes of one second are accepted
+                ports.peer.sendto(encode_note(note(n)), ports.own)
+            ports.unknown_sender.sendto(b"", ports.own)
+            await ports.until(
+                lambda: one.dropped + len(ports.received) >= len(INVALID_DATAGRAMS) + 4 + 1 + 100 + 1
+            )
+            assert len(ports.received) == 1 + MAX_NOTES_PER_PEER_PER_S
+            ports.now += 10_000_000
+            two.open()  # as at a hot restart: each datagram reaches one of the two
+            before = len(ports.received)
+            ports.peer.sendto(encode_note(note(11)), ports.own)
+            await ports.until(lambda: len(ports.received) > before)
+            assert ports.received[before:] == [(1, note(11))]
             one.close()
-            udp.peer.sendto(encode_note(note(12)), udp.own)
-            await udp.until(lambda: len(udp.got) > before + 1)
-            one.tell(note(1))  # closed: it goes nowhere, and harms nobody
+            ports.peer.sendto(encode_note(note(12)), ports.own)
+            await ports.until(lambda: len(ports.received) > before + 1)
+            one.tell(note(1))  # on a closed port this does nothing
             two.tell(note(13))
-            assert (await asyncio.to_thread(udp.peer.recv, 999)) == encode_note(note(13))
+            assert (await asyncio.to_thread(ports.peer.recv, 999)) == encode_note(note(13))
         finally:
-            udp.close()
+            ports.close()
 
     asyncio.run(run())
 
 
-def test_the_port_keeps_to_it() -> None:
-    on_udp()
+def test_the_udp_port_fulfils_the_contract() -> None:
+    check_udp_contract()
 
 
-class Trusting(PeerPort):
-    """Broken on purpose: a stranger is taken for the first peer."""
+class AcceptsUnknownSenders(PeerPort):
+    """Faulty on purpose: accepts notes of unknown senders as those of the first peer."""
 
     def _process_datagram(self, data: bytes, source: tuple[str, int]) -> None:
         known = source if source in self._peer_numbers else next(iter(self._peer_numbers))
         super()._process_datagram(data, known)
 
 
-class Unbounded(PeerPort):
-    """Broken on purpose: a flood comes through."""
+class AcceptsFloods(PeerPort):
+    """Faulty on purpose: does not limit the rate of a peer."""
 
     def _take_token(self, number: int) -> bool:
         return True
 
 
-@pytest.mark.parametrize("twin", [Trusting, Unbounded])
-def test_a_broken_port_is_found_out(twin: type[PeerPort]) -> None:
+@pytest.mark.parametrize("faulty_port", [AcceptsUnknownSenders, AcceptsFloods])
+def test_the_contract_detects_a_faulty_port(faulty_port: type[PeerPort]) -> None:
     with pytest.raises(AssertionError):
-        on_udp(twin)
+        check_udp_contract(faulty_port)
 
 
-class Alters(InMemoryNetwork):
-    """Broken on purpose: one value becomes another on the way."""
+class AltersNotes(InMemoryNetwork):
+    """Faulty on purpose: changes a value in transit."""
 
     def _deliver(self, number: int, other: int, data: bytes) -> None:
         super()._deliver(number, other, data[:-1] + bytes([data[-1] ^ 1]))
 
 
-class Believing(RuleBasedStateMachine):
-    """Three senders' beliefs over a rough way, against all that was ever told, and when."""
+class GossipMachine(RuleBasedStateMachine):
+    """The gossip state of three senders on a faulty network, checked against all notes that were sent."""
 
-    hub_type: type[InMemoryNetwork] = InMemoryNetwork
+    network_type: type[InMemoryNetwork] = InMemoryNetwork
 
     @initialize(
-        seed=st.integers(0, 999), lost=st.sampled_from([0.0, 0.3]), late=st.sampled_from([100, 900_000])
+        seed=st.integers(0, 999),
+        loss_fraction=st.sampled_from([0.0, 0.3]),
+        max_delay_us=st.sampled_from([100, 900_000]),
     )
-    def begin(self, seed: int, lost: float, late: int) -> None:
-        self.engine, self.late = Engine(1_000_000), late
-        self.network = self.hub_type(self.engine.after, Random(seed), NetworkFaults(lost, 0.3, 100, late))
-        self.beliefs = [Gossip(FLEET) for _ in range(3)]
-        self.told: list[list[tuple[int, int]]] = [[] for _ in range(3)]  # values, and when they were told
-        self.numbers = [0] * 3
+    def begin(self, seed: int, loss_fraction: float, max_delay_us: int) -> None:
+        self.engine, self.max_delay_us = Engine(1_000_000), max_delay_us
+        self.network = self.network_type(
+            self.engine.after, Random(seed), NetworkFaults(loss_fraction, 0.3, 100, max_delay_us)
+        )
+        self.gossips = [Gossip(FLEET) for _ in range(3)]
+        self.sent: list[list[tuple[int, int]]] = [[] for _ in range(3)]  # values, and when they were sent
+        self.sequence_numbers = [0] * 3
         for n in range(3):
-            self.network.open(n, lambda peer, heard, n=n: self.hear(n, peer, heard))  # type: ignore[misc]
+            self.network.open(n, lambda peer, received_note, n=n: self.receive(n, peer, received_note))  # type: ignore[misc]
 
-    def hear(self, n: int, peer: int, heard: Note) -> None:
+    def receive(self, n: int, peer: int, received_note: Note) -> None:
         assert peer != n
-        self.beliefs[n].receive(peer, heard, self.engine.now)
+        self.gossips[n].receive(peer, received_note, self.engine.now)
 
     @rule(n=st.integers(0, 2), value=st.integers(0, 9))
-    def tells(self, n: int, value: int) -> None:
-        self.numbers[n] = (self.numbers[n] + 1) % SEQUENCE_NUMBERS
-        self.told[n].append((value, self.engine.now))
-        self.network.send(n, note(self.numbers[n], value))
+    def sends(self, n: int, value: int) -> None:
+        self.sequence_numbers[n] = (self.sequence_numbers[n] + 1) % SEQUENCE_NUMBERS
+        self.sent[n].append((value, self.engine.now))
+        self.network.send(n, note(self.sequence_numbers[n], value))
 
     @rule(n=st.integers(0, 2), number=st.integers(0, 255))
-    def begins_again(self, n: int, number: int) -> None:
-        """A restart: nothing is believed, and numbers begin anywhere."""
-        self.beliefs[n], self.numbers[n] = Gossip(FLEET), number
+    def restarts(self, n: int, number: int) -> None:
+        """Restart a sender: its state is empty, and its sequence numbers start anywhere."""
+        self.gossips[n], self.sequence_numbers[n] = Gossip(FLEET), number
 
     @rule(us=st.sampled_from([1_000, 400_000, LIVE_US]))
-    def passes(self, us: int) -> None:
+    def time_passes(self, us: int) -> None:
         self.engine.run(self.engine.now + us)
 
     @rule()
-    def falls_silent(self) -> None:
-        """What was told ages out, and whoever tells something then is heard, whatever its number."""
-        self.engine.run(self.engine.now + LIVE_US + WORK * self.beliefs[0].beat_us + self.late)
-        assert all(b.active_senders(7, 1, self.engine.now) is None for b in self.beliefs)
+    def all_facts_expire(self) -> None:
+        """All facts expire, and the next note of each sender is accepted, whatever its sequence number."""
+        self.engine.run(self.engine.now + LIVE_US + WORK * self.gossips[0].beat_us + self.max_delay_us)
+        assert all(gossip.active_senders(7, 1, self.engine.now) is None for gossip in self.gossips)
         self.network.faults = NetworkFaults()
         for n in range(3):
-            self.tells(n, n + 1)
+            self.sends(n, n + 1)
         self.engine.run(self.engine.now + 1_000)
-        assert [b.active_senders(7, 1, self.engine.now) for b in self.beliefs] == [6, 5, 4]
+        assert [gossip.active_senders(7, 1, self.engine.now) for gossip in self.gossips] == [6, 5, 4]
 
     @invariant()
-    def nothing_is_believed_that_nobody_told(self) -> None:
-        for n, beliefs in enumerate(self.beliefs if hasattr(self, "beliefs") else []):
-            crowd = beliefs.active_senders(7, 1, self.engine.now)
-            since = self.engine.now - WORK * beliefs.beat_us - self.late
-            sums = {0}
+    def only_sent_values_are_counted(self) -> None:
+        for n, gossip in enumerate(self.gossips if hasattr(self, "gossips") else []):
+            active_senders = gossip.active_senders(7, 1, self.engine.now)
+            oldest_at = self.engine.now - WORK * gossip.beat_us - self.max_delay_us
+            possible_sums = {0}
             for peer in {0, 1, 2} - {n}:
-                sums = {s + v for s in sums for v in {0} | {v for v, at in self.told[peer] if at >= since}}
-            assert crowd is None or crowd - 1 in sums
+                possible_sums = {
+                    s + v
+                    for s in possible_sums
+                    for v in {0} | {v for v, at in self.sent[peer] if at >= oldest_at}
+                }
+            assert active_senders is None or active_senders - 1 in possible_sums
 
 
-SMALL = settings(max_examples=60, stateful_step_count=25, derandomize=True, deadline=None, database=None)
+MACHINE_SETTINGS = settings(
+    max_examples=60, stateful_step_count=25, derandomize=True, deadline=None, database=None
+)
 
 
-def test_what_is_believed_was_told_lately_and_a_peer_that_restarts_is_heard_again() -> None:
-    run_state_machine_as_test(Believing, settings=SMALL)
+def test_only_recent_notes_count_and_a_restarted_peer_is_accepted_again() -> None:
+    run_state_machine_as_test(GossipMachine, settings=MACHINE_SETTINGS)
 
 
-def test_a_way_that_alters_notes_is_found_out() -> None:
-    class Altered(Believing):
-        hub_type = Alters
+def test_the_contract_detects_a_network_that_alters_notes() -> None:
+    class MachineWithAlteredNotes(GossipMachine):
+        network_type = AltersNotes
 
     with pytest.raises(AssertionError):
-        first = settings(SMALL, phases=[Phase.generate], report_multiple_bugs=False)
-        run_state_machine_as_test(Altered, settings=first)
-
-
-@pytest.mark.parametrize("last", [0, 1, 90, 127, 128, 200, 255])
-def test_a_peer_that_begins_again_is_deaf_to_nobody_for_longer_than_live(last: int) -> None:
-    beliefs = Gossip(FLEET)
-    beliefs.receive(3, note(last), 0)
-    for n in range(1, 12):  # from 1 again, twice a second
-        beliefs.receive(3, note(n, 5), n * 500_000)
-    assert beliefs.active_senders(7, 1, 5_500_000) == 6
+        stop_at_first_failure = settings(
+            MACHINE_SETTINGS, phases=[Phase.generate], report_multiple_bugs=False
+        )
+        run_state_machine_as_test(MachineWithAlteredNotes, settings=stop_at_first_failure)
+
+
+@pytest.mark.parametrize("last_number", [0, 1, 90, 127, 128, 200, 255])
+def test_notes_of_a_restarted_peer_are_accepted_after_at_most_the_live_time(last_number: int) -> None:
+    gossip = Gossip(FLEET)
+    gossip.receive(3, note(last_number), 0)
+    for n in range(1, 12):  # sequence numbers restart at 1, two notes a second
+        gossip.receive(3, note(n, 5), n * 500_000)
+    assert gossip.active_senders(7, 1, 5_500_000) == 6
--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -22,7 +22,7 @@
 from rowanrack.fronts.platform.discovery import LIST_LIMIT, DiscoveryWatch
 from rowanrack.net.stream import Stream
 from rowanspindle import EndpointStatus, UpdateScope
-from tests.rig import instance
+from tests.rig import make_endpoint
 from tests.test_core import SECOND_US, Desk
 from tests.test_list_clock import Wire, framed, pass_time
 
@@ -326,7 +326,7 @@
 
 
 async def a_whole_list_replaces_its_own_entries_only(source: Source) -> None:
-    source.desk.exchange.list_instances(UpdateScope.FULL, [instance("other", 9)], "other")
+    source.desk.exchange.list_instances(UpdateScope.FULL, [make_endpoint("other", 9)], "other")
     await source.says(Entry("a"), Entry("b", 2))
     assert source.listed() == source.names("ab") | {"other"}
     await source.says(Entry("b", 2))
@@ -439,18 +439,18 @@
 async def of_two_that_name_one_each_may_leave_it_out(source: Source) -> None:
     own, exchange = source.name("a"), source.desk.exchange
     await source.says(Entry("a"))
-    exchange.list_instances(UpdateScope.FULL, [instance(own, 9)], "other")
+    exchange.list_instances(UpdateScope.FULL, [make_endpoint(own, 9)], "other")
     assert exchange.table.get(own).port == 9  # type: ignore[union-attr]
     exchange.list_instances(UpdateScope.FULL, (), "other")
     assert exchange.table.get(own).port == 1  # type: ignore[union-attr]
-    exchange.list_instances(UpdateScope.FULL, [instance(own, 9)], "other")
+    exchange.list_instances(UpdateScope.FULL, [make_endpoint(own, 9)], "other")
     await source.says()
     assert exchange.table.get(own).port == 9  # type: ignore[union-attr]
     exchange.ban(own)
     assert exchange.table.names() == {own} and not source.listed()
     exchange.attach(own)
     exchange.list_instances(
-        UpdateScope.DELTA, [replace(instance(own, 9), status=EndpointStatus.REMOVED)], "other"
+        UpdateScope.DELTA, [replace(make_endpoint(own, 9), status=EndpointStatus.REMOVED)], "other"
     )
     assert not exchange.table.names()
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""What the socket tests share: stand-ins for instances, discovery and clients, and a sender among them."""
+"""Fixtures of the socket tests: a sender among stand-ins for endpoints, discovery and clients."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def on_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run an async test on a loop of its own, with an end in any case."""
+    """Run an async test on a new event loop, with a time limit of 30 s."""
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
@@ -76,28 +76,28 @@
 
 
 def answers(*replies: Reply | None) -> Behaviour:
-    """Answer calls with these in turn, the last for ever; None breaks the connection."""
-    left = list(replies)
+    """Answer calls with these replies in order, then always with the last; None aborts the connection."""
+    remaining = list(replies)
 
     async def behave(_request: Request) -> Reply | None:
-        return left.pop(0) if len(left) > 1 else left[0]
+        return remaining.pop(0) if len(remaining) > 1 else remaining[0]
 
     return behave
 
 
 async def silent(_request: Request) -> Reply | None:
-    """Never answer."""
+    """Never answer a request."""
     await asyncio.Event().wait()
     return None
 
 
 class HttpStandIn(HttpServer):
-    """A server that keeps what it is asked, and answers as it is told."""
+    """A server that records its requests, and answers them with a given behaviour."""
 
     def __init__(self, behave: Behaviour = answers(Reply(200, {}))) -> None:  # noqa: B008
         super().__init__()
         self.behave, self.requests, self.times = behave, list[Request](), list[float]()
-        self.closed, self.news = asyncio.Event(), asyncio.Condition()
+        self.closed, self.requests_changed = asyncio.Event(), asyncio.Condition()
 
     async def __aenter__(self) -> HttpStandIn:
         await self.open()
@@ -107,64 +107,64 @@
         self.close()
 
     def broke_off(self) -> None:
-        """A connection has been broken from here."""
+        """Note that this server has aborted a connection."""
         self.closed.set()
 
     async def answer(self, request: Request, peer: str) -> Reply | None:
-        """Keep the request, and answer."""
-        async with self.news:
+        """Record the request, and answer it."""
+        async with self.requests_changed:
             self.requests.append(request)
             self.times.append(asyncio.get_running_loop().time())
-            self.news.notify_all()
+            self.requests_changed.notify_all()
         return await self.behave(request)
 
-    async def asked(self, count: int) -> list[Request]:
-        """The requests, once there are so many."""
-        async with self.news:
-            await self.news.wait_for(lambda: len(self.requests) >= count)
+    async def wait_for_requests(self, count: int) -> list[Request]:
+        """Return all requests once there are at least `count`."""
+        async with self.requests_changed:
+            await self.requests_changed.wait_for(lambda: len(self.requests) >= count)
         return self.requests
 
 
 class Platform(HttpStandIn):
-    """Discovery: its list, a watch that answers on changes, and the notices that it is told."""
+    """The platform: discovery with a watch that answers on changes, and the receiver of outcome notices."""
 
     def __init__(self) -> None:
         super().__init__(self._behave)
         self.hosts: list[dict[str, object]] = []
-        self.seq, self.changed, self.notice_status = 1, asyncio.Event(), [204]
-        self.broken: list[Reply | None] = []  # what the next watches get instead
+        self.seq, self.changed, self.notice_statuses = 1, asyncio.Event(), [204]
+        self.broken_replies: list[Reply | None] = []  # for the next watches, in place of the list
         self.notices: dict[str, dict[str, Any]] = {}
-        self.told = asyncio.Condition()
+        self.notices_changed = asyncio.Condition()
 
     def change(self, *hosts: dict[str, object]) -> None:
-        """Tell those who watch."""
+        """Change the endpoint list, and notify the watch."""
         self.hosts, self.seq = list(hosts), self.seq + 1
         self.changed.set()
 
     async def _behave(self, request: Request) -> Reply | None:
         if request.target == "/v1/outcomes":
-            status = self.notice_status.pop(0) if len(self.notice_status) > 1 else self.notice_status[0]
-            async with self.told:
+            status = self.notice_statuses.pop(0) if len(self.notice_statuses) > 1 else self.notice_statuses[0]
+            async with self.notices_changed:
                 for line in request.body.splitlines() if status == 204 else ():
                     self.notices[json.loads(line)["message"]] = json.loads(line)
-                self.told.notify_all()
+                self.notices_changed.notify_all()
             return Reply(status, {})
-        if self.broken:
-            return self.broken.pop(0)
+        if self.broken_replies:
+            return self.broken_replies.pop(0)
         await self.changed.wait()
         self.changed.clear()
-        doc = {"seq": self.seq, "whole": False, "hosts": self.hosts}
-        return Reply(200, {}, json.dumps(doc).encode())
+        document = {"seq": self.seq, "whole": False, "hosts": self.hosts}
+        return Reply(200, {}, json.dumps(document).encode())
 
-    async def notice(self, message_id: str) -> dict[str, Any]:
-        """The notice of a message, once it has come."""
-        async with self.told:
-            await self.told.wait_for(lambda: message_id in self.notices)
+    async def wait_for_notice(self, message_id: str) -> dict[str, Any]:
+        """Return the outcome notice of a message once it has been received."""
+        async with self.notices_changed:
+            await self.notices_changed.wait_for(lambda: message_id in self.notices)
         return self.notices[message_id]
 
 
-def entry(name: str, port: int, dest: int = 7, health: str = "SERVING") -> dict[str, object]:
-    """An instance in discovery's form."""
+def discovery_entry(name: str, port: int, dest: int = 7, health: str = "SERVING") -> dict[str, object]:
+    """Return an endpoint in the JSON form of discovery."""
     return {
         "host": name,
         "dial": f"127.0.0.1:{port}",
@@ -177,8 +177,8 @@
     }
 
 
-def instance(name: str, port: int, dest: int = 7) -> Endpoint:
-    """An instance as the core has it."""
+def make_endpoint(name: str, port: int, dest: int = 7) -> Endpoint:
+    """Return a listed endpoint."""
     return Endpoint(name, "127.0.0.1", port, "a", "print-lab", dest, EndpointStatus.LISTED, 50.0)
 
 
@@ -192,41 +192,47 @@
 
 
 class Rig(AsyncExitStack):
-    """A sender with both fronts among stand-ins, whose folder outlasts it."""
+    """A sender with both fronts among stand-ins; its state folder is kept across restarts."""
 
     def __init__(
-        self, state: Path, *behaviours: Behaviour, given: dict[str, Any] | None = None, **limits: int
+        self,
+        state: Path,
+        *behaviours: Behaviour,
+        settings_changes: dict[str, Any] | None = None,
+        **limits: int,
     ) -> None:
         super().__init__()
         self.state, self.platform = state, Platform()
-        self.servers = [HttpStandIn(b) for b in behaviours]
-        doc = SETTINGS | (given or {}) | {"limits": SETTINGS["limits"] | limits}
-        self.settings: Settings = parse_settings(json.dumps(doc))
-        self.changes: dict[str, Any] = {}  # to the configuration, from the next start on
-        self.known: tuple[Endpoint, ...] = ()
+        self.servers = [HttpStandIn(behaviour) for behaviour in behaviours]
+        document = SETTINGS | (settings_changes or {}) | {"limits": SETTINGS["limits"] | limits}
+        self.settings: Settings = parse_settings(json.dumps(document))
+        self.config_changes: dict[str, Any] = {}  # configuration fields that change at the next start
+        self.known_endpoints: tuple[Endpoint, ...] = ()
         self.results, self.ends = list[Result](), list[tuple[str, End]]()
-        self._news = asyncio.Event()
+        self._outcomes_changed = asyncio.Event()
 
     async def __aenter__(self) -> Rig:
         await super().__aenter__()
         for server in (self.platform, *self.servers):
             await self.enter_async_context(server)
-        self.known = tuple(instance(f"i{n}", s.port) for n, s in enumerate(self.servers))
+        self.known_endpoints = tuple(
+            make_endpoint(f"i{number}", server.port) for number, server in enumerate(self.servers)
+        )
         await self.start()
         self.callback(lambda: self.sender.close())
         return self
 
     async def start(self) -> None:
-        """Start a sender on the folder, after `sender.close()` as after SIGKILL."""
+        """Start a sender on the state folder; after `sender.close()` this acts as a restart after SIGKILL."""
         self.sender = Sender(self.config())
         await self.sender.start()
-        self._listen_in()
+        self._record_outcomes()
 
     def config(self, pushed: bool = False) -> Config:
-        """The configuration of a sender among the stand-ins."""
+        """Return the configuration of a sender that uses the stand-ins."""
         host = "127.0.0.1"
         discovery = (host, self.platform.port)
-        platform = PlatformConfig((host, 0), discovery, self.platform.seq, self.known)
+        platform = PlatformConfig((host, 0), discovery, self.platform.seq, self.known_endpoints)
         config = Config("n0", self.settings, 5000, 1, self.state, 3_000_000, 512)
         config = replace(
             config,
@@ -234,64 +240,64 @@
             otlp=OtlpConfig((host, 0), 256 * 1024, MAPPING),
             mgmt=(host, 0),
         )
-        return replace(config, **self.changes)
+        return replace(config, **self.config_changes)
 
-    def _listen_in(self) -> None:
+    def _record_outcomes(self) -> None:
         exchange, settle = self.sender.exchange, self.sender.exchange.settle
 
-        def settle_and_tell(attempt: Attempt, verdict: CallVerdict | Result) -> None:
+        def settle_and_record(attempt: Attempt, verdict: CallVerdict | Result) -> None:
             settle(attempt, verdict)
-            self._tell(self.results, verdict if isinstance(verdict, Result) else verdict.result)
+            self._record(self.results, verdict if isinstance(verdict, Result) else verdict.result)
 
-        def listen_and_tell(listener: Callable[[Message, End], None], message: Message, end: End) -> None:
+        def listen_and_record(listener: Callable[[Message, End], None], message: Message, end: End) -> None:
             listener(message, end)
-            self._tell(self.ends, (message.id, end))
+            self._record(self.ends, (message.id, end))
 
-        exchange.settle = settle_and_tell  # type: ignore[method-assign]
+        exchange.settle = settle_and_record  # type: ignore[method-assign]
         for front, listener in exchange.listeners.items():
-            exchange.listeners[front] = functools.partial(listen_and_tell, listener)
+            exchange.listeners[front] = functools.partial(listen_and_record, listener)
 
-    def once_listed(self, *dests: int) -> None:
-        """Destinations that are known, and whose instances have all gone."""
+    def add_removed_destinations(self, *dests: int) -> None:
+        """Make destinations known whose endpoints have all been removed."""
         for status in (EndpointStatus.LISTED, EndpointStatus.REMOVED):
-            news = [replace(instance(f"gone{dest}", 1, dest), status=status) for dest in dests]
-            self.sender.exchange.list_instances(UpdateScope.DELTA, news)
+            update = [replace(make_endpoint(f"gone{dest}", 1, dest), status=status) for dest in dests]
+            self.sender.exchange.list_instances(UpdateScope.DELTA, update)
 
-    def _tell(self, told: list[Any], news: Any) -> None:
-        told.append(news)
-        self._news.set()
+    def _record(self, recorded: list[Any], update: Any) -> None:
+        recorded.append(update)
+        self._outcomes_changed.set()
 
-    async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait until what the sender's attempts and ends have told makes this true."""
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait for a condition; it is checked after each result of an attempt and each end of a message."""
         while not condition():
-            self._news.clear()
-            await self._news.wait()
+            self._outcomes_changed.clear()
+            await self._outcomes_changed.wait()
 
-    async def ended(self, message_id: str) -> End:
-        """The end of a message, once it has one."""
-        await self.until(lambda: message_id in dict(self.ends))
+    async def wait_for_end(self, message_id: str) -> End:
+        """Wait for the end of a message and return it."""
+        await self.wait_until(lambda: message_id in dict(self.ends))
         return dict(self.ends)[message_id]
 
     async def client(self) -> Client:
-        """A new connection to the platform's front."""
+        """Open a client connection to the platform front."""
         return Client(await self.connect(0))
 
-    async def export(self, body: bytes, path: str = "/v1/logs", **headers: str) -> Reply:
-        """One export request on a connection of its own."""
+    async def export(self, body: bytes, path: str = "/v1/logs", **header_values: str) -> Reply:
+        """Make an export request on a new connection."""
         stream = await self.connect(1)
-        kind = {"content_type": "application/x-protobuf"} | headers
-        named = tuple((name.replace("_", "-"), value) for name, value in kind.items())
-        return await HttpCaller(stream, "otlp", 1 << 20, after).call(Call("POST", path, named, body))
+        header_fields = {"content_type": "application/x-protobuf"} | header_values
+        headers = tuple((name.replace("_", "-"), value) for name, value in header_fields.items())
+        return await HttpCaller(stream, "otlp", 1 << 20, after).call(Call("POST", path, headers, body))
 
     async def connect(self, front: int) -> Stream:
-        """A new connection to the platform's front (0) or to OTLP's (1)."""
+        """Open a connection to the platform front (0) or to the OTLP front (1)."""
         stream = await Stream.connect("127.0.0.1", self.sender.fronts[front][0].port)
         self.callback(stream.abort)
         return stream
 
 
 class Process(AsyncExitStack):
-    """A sender as a process of its own, with a rig's instances and a folder beside its configuration."""
+    """A sender in a child process, with the endpoints of a rig, a configuration file and a state folder."""
 
     def __init__(self, rig: Rig, folder: Path) -> None:
         super().__init__()
@@ -310,24 +316,24 @@
         return self
 
     def configure(self, platform: Platform) -> None:
-        """Write its configuration, which names this platform's address."""
-        hosts = [entry(f"i{n}", s.port) for n, s in enumerate(self.rig.servers)]
-        doc = {
+        """Write the configuration file, with the address of this platform."""
+        hosts = [discovery_entry(f"i{n}", s.port) for n, s in enumerate(self.rig.servers)]
+        document = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{platform.port}",
             "settings": SETTINGS,
             "known": {"seq": 1, "whole": True, "hosts": hosts},
         }
-        self.config.write_text(json.dumps(doc))
+        self.config.write_text(json.dumps(document))
 
     async def start(self) -> None:
-        """Start it, at first or again. The environment names the first platform, whatever the file says."""
-        self.child = await self.another()
-        await self.logged("serving")
+        """Start or restart the process. The environment names the first platform, whatever the file says."""
+        self.child = await self.start_another()
+        await self.wait_for_log("serving")
 
-    async def another(self) -> asyncio.subprocess.Process:
-        """One more process on the same configuration and folder, as at a hot restart; the caller ends it."""
+    async def start_another(self) -> asyncio.subprocess.Process:
+        """Start another process on the same folder, as at a hot restart; the caller ends it."""
         env = os.environ | {"ROUTER_CONFIG": str(self.config), "ROUTER_STATE": str(self.folder)}
         env["ROUTER_DISCOVERY"] = f"127.0.0.1:{self.platform.port}"
         command = (sys.executable, "-m", "rowanrack", "serve")
@@ -339,15 +345,15 @@
             await self.child.wait()
 
     async def client(self) -> Client:
-        """A new connection."""
+        """Open a client connection."""
         stream = await Stream.connect("127.0.0.1", self.port)
         self.callback(stream.abort)
         return Client(stream)
 
-    async def logged(self, text: str) -> None:
-        """Wait for a line of its log that holds the text."""
+    async def wait_for_log(self, text: str) -> None:
+        """Wait for a log line that contains the text."""
         assert self.child.stderr is not None
         while line := await self.child.stderr.readline():
             if text in line.decode():
                 return
-        raise AssertionError(f"the log ends without {text!r}")
+        raise AssertionError(f"the log ended without {text!r}")
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -1,4 +1,4 @@
-"""Peers that do not keep to their protocol: spoilt answers from instances, and bad clients."""
+"""Peers that violate their protocol: malformed responses of endpoints, and bad clients."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from rowanrack.net.rare_log import WARNING_INTERVAL_S, RareLog
 from rowanrack.net.stream import Stream
 from rowanspindle import UpdateScope
-from tests.rig import Rig, answers, instance, on_loop, resp, silent
+from tests.rig import Rig, answers, make_endpoint, on_loop, resp, silent
 from tests.test_otlp import logs
 
 OK_BYTES = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-EARLY = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-PADS = b"X-Pad: pppppppp\r\n" * 2000
+EARLY_HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+LONG_PADDING = b"X-Pad: pppppppp\r\n" * 2000
 
 
-class RawInstance:
-    """An instance that answers its first call with these bytes, the others well, and closes nothing."""
+class RawEndpoint:
+    """An endpoint that answers its first call with given bytes, others with 200, and closes no connection."""
 
     def __init__(self, first: bytes) -> None:
         self.first, self.calls, self.connections = first, 0, 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Each body is one byte long."""
+        """Serve one connection; each request body is one byte long."""
         self.connections += 1
         try:
             while await reader.readuntil(b"\r\n\r\n") and await reader.readexactly(1):
@@ -44,14 +44,14 @@
 
 
 @asynccontextmanager
-async def raw_instance(rig: Rig, first: bytes) -> AsyncIterator[RawInstance]:
-    """The only instance of the rig's destination."""
-    raw = RawInstance(first)
-    server = await asyncio.start_server(raw.serve, "127.0.0.1", 0)
+async def raw_endpoint(rig: Rig, first: bytes) -> AsyncIterator[RawEndpoint]:
+    """Start a raw endpoint and list it as the only one of the destination."""
+    endpoint = RawEndpoint(first)
+    server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
     async with server:
         port = server.sockets[0].getsockname()[1]
-        rig.sender.exchange.list_instances(UpdateScope.FULL, [instance("raw", port)])
-        yield raw
+        rig.sender.exchange.list_instances(UpdateScope.FULL, [make_endpoint("raw", port)])
+        yield endpoint
 
 
 @pytest.mark.parametrize(
@@ -59,13 +59,13 @@
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nab", Ending.DELIVERED, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 16\r\n\r\nab", Ending.DELIVERED, 1),
-        (b"HTTP/1.1 200 OK\r\n" + PADS, Ending.DELIVERED, 1),
+        (b"HTTP/1.1 200 OK\r\n" + LONG_PADDING, Ending.DELIVERED, 1),
         (b"HTTP/1.1 200 OK\r\nX-Pad: p", Ending.DELIVERED, 1),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n", Ending.DELIVERED, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + bytes(1 << 20), Ending.DELIVERED, 1),
-        (EARLY + b"HTTP/1.1 102 Processing\r\n\r\n" + OK_BYTES, Ending.DELIVERED, 1),
-        (EARLY + b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", Ending.DELIVERED, 1),
-        (EARLY * 50 + OK_BYTES, Ending.FAILED, 1),
+        (EARLY_HINTS + b"HTTP/1.1 102 Processing\r\n\r\n" + OK_BYTES, Ending.DELIVERED, 1),
+        (EARLY_HINTS + b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", Ending.DELIVERED, 1),
+        (EARLY_HINTS * 50 + OK_BYTES, Ending.FAILED, 1),
         (b"HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", Ending.FAILED, 1),
         (b"\xff\x00 noise\r\n\r\nHTTP/1.1 200 OK\r\n", Ending.FAILED, 1),
         (b"HTTP/1.1 503 No\r\nContent-Length: 5\r\n\r\nab", Ending.FAILED, 1),
@@ -77,31 +77,33 @@
     ],
 )
 @on_loop
-async def test_a_spoilt_answer_may_have_run_unless_it_says_200(
+async def test_a_call_with_a_malformed_response_may_have_run_unless_the_status_is_200(
     tmp_path: Path, first: bytes, ending: Ending, calls: int
 ) -> None:
-    """Before, a spoilt refusal counted as never run, and an order went out twice."""
-    async with Rig(tmp_path) as rig, raw_instance(rig, first) as raw:
+    """A malformed refusal was counted as not run, and an order was sent twice."""
+    async with Rig(tmp_path) as rig, raw_endpoint(rig, first) as endpoint:
         await (await rig.client()).submit("m1", "print-order", d=5000)
-        async with asyncio.timeout(3):  # long before the message's time is up
-            assert (await rig.ended("m1")).ending is ending
-        assert raw.calls == calls
+        async with asyncio.timeout(3):  # long before the deadline of the message
+            assert (await rig.wait_for_end("m1")).ending is ending
+        assert endpoint.calls == calls
 
 
 @pytest.mark.parametrize("surplus", [OK_BYTES, b"\xffnoise", b"\r\n"])
 @on_loop
-async def test_what_comes_behind_an_answer_is_not_the_next_one(tmp_path: Path, surplus: bytes) -> None:
-    """A second copy left in h11's buffer was taken for the next call's answer, and that message was lost."""
-    async with Rig(tmp_path) as rig, raw_instance(rig, OK_BYTES + surplus) as raw:
+async def test_surplus_bytes_after_a_response_are_not_the_next_response(
+    tmp_path: Path, surplus: bytes
+) -> None:
+    """Surplus bytes in the buffer of h11 were read as the next response, and that message was lost."""
+    async with Rig(tmp_path) as rig, raw_endpoint(rig, OK_BYTES + surplus) as endpoint:
         client = await rig.client()
         for message_id in ("m1", "m2"):
             await client.submit(message_id, "print-order")
-            assert (await rig.ended(message_id)).ending is Ending.DELIVERED
-        assert (raw.calls, raw.connections) == (2, 2)
+            assert (await rig.wait_for_end(message_id)).ending is Ending.DELIVERED
+        assert (endpoint.calls, endpoint.connections) == (2, 2)
 
 
 @on_loop
-async def test_a_good_command_ahead_of_a_bad_one_is_answered(tmp_path: Path) -> None:
+async def test_a_valid_command_before_an_invalid_one_is_answered(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(Reply(200, {}))) as rig:
         client = await rig.client()
         await client.stream.send(resp("PING") + b"*x\r\n")
@@ -111,7 +113,7 @@
 
 
 @on_loop
-async def test_the_error_line_arrives_however_much_is_unread(tmp_path: Path) -> None:
+async def test_the_error_reply_arrives_however_much_input_is_unread(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         client = await rig.client()
         sending = asyncio.create_task(client.stream.send(b"*1\r\n$60000000\r\n" + bytes(4 << 20)))
@@ -122,10 +124,10 @@
 
 
 @on_loop
-async def test_a_connection_with_bytes_unread_is_not_closed_right_behind_its_error(
+async def test_a_connection_with_unread_input_is_not_closed_right_after_the_error_reply(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Closing would reset it, and a client that still writes would never read the error."""
+    """Closing would reset the connection, and a client that still writes would not read the error."""
     monkeypatch.setattr(net_listener, "MAX_LINGER_BYTES", 0)
     async with Rig(tmp_path) as rig:
         client = await rig.client()
@@ -137,7 +139,7 @@
 
 
 @pytest.mark.parametrize(
-    ("front", "half", "said"),
+    ("front", "partial_request", "reply"),
     [
         (0, b"", b""),
         (0, b"*1\r\n$4\r\nPI", b"-ERR Protocol error: the command does not come whole in time\r\n"),
@@ -146,68 +148,68 @@
     ],
 )
 @on_loop
-async def test_a_request_that_does_not_come_whole_is_not_waited_for(
-    tmp_path: Path, front: int, half: bytes, said: bytes
+async def test_an_incomplete_request_times_out(
+    tmp_path: Path, front: int, partial_request: bytes, reply: bytes
 ) -> None:
     async with Rig(tmp_path) as rig:
         rig.sender.fronts[front][0].owed_us = 1
         stream = await rig.connect(front)
-        if half:
-            await stream.send(half)
+        if partial_request:
+            await stream.send(partial_request)
         while await stream.fill():
             pass
-        assert stream.inward.read(len(said) or 1) == said
+        assert stream.inward.read(len(reply) or 1) == reply
 
 
 @on_loop
-async def test_silent_connections_do_not_keep_the_usual_clients_out(tmp_path: Path) -> None:
+async def test_silent_connections_are_evicted_for_active_clients(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         rig.sender.fronts[0][0].max_connections = 4
         for _ in range(12):
             await rig.client()
-        asking = [asyncio.create_task((await rig.client()).command("PING")) for _ in range(4)]
-        async with asyncio.timeout(1.5):  # silence alone ends none of them for 2 s
-            assert await asyncio.gather(*asking) == [b"+PONG\r\n"] * 4
+        commands = [asyncio.create_task((await rig.client()).command("PING")) for _ in range(4)]
+        async with asyncio.timeout(1.5):  # the time-out of silent connections is 2 s
+            assert await asyncio.gather(*commands) == [b"+PONG\r\n"] * 4
 
 
-@pytest.mark.parametrize(("said", "keeps"), [(resp("PING"), True), (b"*1\r\n$4", False)])
+@pytest.mark.parametrize(("input_bytes", "waits_for_reply"), [(resp("PING"), True), (b"*1\r\n$4", False)])
 @on_loop
-async def test_clients_that_keep_an_idle_or_half_used_connection_keep_nobody_out(
-    tmp_path: Path, said: bytes, keeps: bool
+async def test_idle_connections_and_partial_requests_are_evicted_for_active_clients(
+    tmp_path: Path, input_bytes: bytes, waits_for_reply: bool
 ) -> None:
-    """On a recorded day 215 connections, each used once and under 2 s ago, kept half of all clients out."""
+    """On a recorded day, 215 connections, each used once less than 2 s ago, kept half of all clients out."""
     async with Rig(tmp_path) as rig:
         rig.sender.fronts[0][0].max_connections = 4
         for _ in range(8):
             client = await rig.client()
-            await client.stream.send(said)
-            if keeps:
+            await client.stream.send(input_bytes)
+            if waits_for_reply:
                 await client.raw(b"")
-        asking = [asyncio.create_task((await rig.client()).command("PING")) for _ in range(4)]
+        commands = [asyncio.create_task((await rig.client()).command("PING")) for _ in range(4)]
         async with asyncio.timeout(1.5):
-            assert await asyncio.gather(*asking) == [b"+PONG\r\n"] * 4
+            assert await asyncio.gather(*commands) == [b"+PONG\r\n"] * 4
 
 
-@pytest.mark.parametrize(("most", "closed"), [(4, True), (100, False)])
+@pytest.mark.parametrize(("max_connections", "closed"), [(4, True), (100, False)])
 @on_loop
-async def test_idle_connections_are_closed_ahead_of_need_only_in_a_crowd(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, most: int, closed: bool
+async def test_idle_connections_are_closed_early_only_when_many_connections_are_open(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, max_connections: int, closed: bool
 ) -> None:
-    """Clients that may hold only so many connections kept them idle, and had none left to ask on."""
+    """Clients with a limited number of connections kept them idle, and had none left for requests."""
     monkeypatch.setattr(net_listener, "TIMEOUT_CHECK_INTERVAL_US", 5000)
     monkeypatch.setattr(net_listener, "IDLE_EVICTION_AGE_US", 0)
     async with Rig(tmp_path) as rig:
         clients = [await rig.client() for _ in range(2)]
         for client in clients:
             await client.command("PING")
-        rig.sender.fronts[0][0].max_connections = most
+        rig.sender.fronts[0][0].max_connections = max_connections
         ends = [asyncio.create_task(client.stream.fill()) for client in clients]
         done, _ = await asyncio.wait(ends, timeout=1.5 if closed else 0.1)
         assert len(done) == (2 if closed else 0)
 
 
 @pytest.mark.parametrize(
-    ("state", "least_us"),
+    ("state", "min_age_us"),
     [
         (State.OWING, net_listener.REQUEST_EVICTION_AGE_US),
         (State.IDLE, net_listener.IDLE_EVICTION_AGE_US),
@@ -216,24 +218,24 @@
     ],
 )
 @on_loop
-async def test_only_connections_that_nobody_misses_make_room(
-    tmp_path: Path, state: State, least_us: int | None
+async def test_only_dispensable_connections_are_evicted(
+    tmp_path: Path, state: State, min_age_us: int | None
 ) -> None:
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
         await (await rig.client()).command("PING")
         (served,) = front.streams
         now = front._now()
-        if least_us:
-            front.streams[served] = state, now - least_us + 100_000
+        if min_age_us:
+            front.streams[served] = state, now - min_age_us + 100_000
             assert not front._evict_connection()
-        front.streams[served] = state, now - (least_us if least_us is not None else 1 << 40)
-        assert front._evict_connection() is (least_us is not None)
-        assert served.closing is (least_us is not None)
+        front.streams[served] = state, now - (min_age_us if min_age_us is not None else 1 << 40)
+        assert front._evict_connection() is (min_age_us is not None)
+        assert served.closing is (min_age_us is not None)
 
 
 @on_loop
-async def test_a_request_that_is_not_read_yet_keeps_its_connection(tmp_path: Path) -> None:
+async def test_a_connection_with_an_unread_request_is_not_evicted(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
         front.owed_us = front.spared_us = 0
@@ -247,69 +249,72 @@
 
 
 @on_loop
-async def test_a_loud_connection_leaves_the_others_their_turn(tmp_path: Path) -> None:
+async def test_a_connection_with_many_commands_does_not_starve_the_others(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         clients = [await rig.client() for _ in range(2)]
         for client in clients:
             await client.command("PING")
-        loud, quiet = rig.sender.fronts[0][0].streams
-        turns = list[Stream]()
-        for served in (loud, quiet):
+        busy, quiet = rig.sender.fronts[0][0].streams
+        send_order = list[Stream]()
+        for served in (busy, quiet):
             send = served.send
 
-            async def noted(data: bytes, served: Stream = served, send=send) -> None:  # type: ignore[no-untyped-def]
-                turns.append(served)
+            async def recorded_send(data: bytes, served: Stream = served, send=send) -> None:  # type: ignore[no-untyped-def]
+                send_order.append(served)
                 await send(data)
 
-            served.send = noted  # type: ignore[method-assign]
-        loud._reader.feed_data(resp("PING") * 200)
+            served.send = recorded_send  # type: ignore[method-assign]
+        busy._reader.feed_data(resp("PING") * 200)
         quiet._reader.feed_data(resp("PING"))
         await clients[1].raw(b"")
-        assert turns.index(quiet) < 10
+        assert send_order.index(quiet) < 10
 
 
 @on_loop
-async def test_bad_input_is_answered_late_but_only_so_often(tmp_path: Path) -> None:
+async def test_the_answer_to_bad_input_is_delayed_up_to_a_number_of_penalties(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         rig.sender.fronts[0][0]._active_penalties = load_shedder.PENALTIES
         loop = asyncio.get_running_loop()
-        for held_up in (False, True):
+        for is_delayed in (False, True):
             began = loop.time()
             assert (await (await rig.client()).command("NO")).startswith(b"-ERR unknown command")
-            assert (loop.time() - began >= load_shedder.PENALTY_US / 1e6) is held_up
+            assert (loop.time() - began >= load_shedder.PENALTY_US / 1e6) is is_delayed
             rig.sender.fronts[0][0]._active_penalties = 0
 
 
 @on_loop
-async def test_a_destination_that_nobody_knows_is_not_taken_on(tmp_path: Path) -> None:
-    """It filled the hold until its time was up. One whose instances have just gone is real, and is held."""
+async def test_a_message_to_an_unknown_destination_is_refused(tmp_path: Path) -> None:
+    """Messages to unknown destinations were held until their deadline and used up the limit.
+
+    A destination whose endpoints were removed recently is known, and its messages are held.
+    """
     async with Rig(tmp_path, silent) as rig:
         client = await rig.client()
         assert await client.submit("m1", dest=99) == b"-BUSY 1000\r\n"
         refused = await rig.export(logs(dest="99"))
         assert (refused.status, refused.headers["retry-after"]) == (503, "1")
         assert not rig.sender.exchange.messages
-        rig.once_listed(99)
+        rig.add_removed_destinations(99)
         assert await client.submit("m2", dest=99) == b"+OK\r\n"
         assert rig.sender.exchange.table.knows(99, 0)
         assert not rig.sender.exchange.table.knows(99, 1 << 60)
 
 
-def test_lines_that_outsiders_cause_are_rare(caplog: pytest.LogCaptureFixture) -> None:
+def test_warnings_that_outsiders_cause_are_rate_limited(caplog: pytest.LogCaptureFixture) -> None:
     now = [0.0]
-    rare = RareLog(logging.getLogger("rare"), lambda: now[0])
+    rate_limited = RareLog(logging.getLogger("rare"), lambda: now[0])
     for at in (0.0, 1.0, 2.0, WARNING_INTERVAL_S):
         now[0] = at
-        rare.warning("refused: %d", int(at))
+        rate_limited.warning("refused: %d", int(at))
     assert caplog.messages == ["refused: 0", "refused: 10 (2 similar lines suppressed)"]
 
 
 @on_loop
-async def test_an_answered_connection_makes_room_before_one_that_has_not_spoken(tmp_path: Path) -> None:
+async def test_an_answered_connection_is_evicted_before_a_silent_one(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
         for _ in range(2):
             await (await rig.client()).command("PING")
-        silent_one, answered = front.streams
-        front.streams[silent_one], front.streams[answered] = (State.OWING, 0), (State.IDLE, 0)
-        assert front._evict_connection() and answered.closing and not silent_one.closing
+        silent_stream, answered = front.streams
+        front.streams[silent_stream], front.streams[answered] = (State.OWING, 0), (State.IDLE, 0)
+        assert front._evict_connection() and answered.closing and not silent_stream.closing
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -17,10 +17,10 @@
 from rowanrack.fronts.platform.inbox import InboxForm, report
 from rowanrack.net.http import Reply, Request
 from rowanspindle import Result, UpdateScope
-from tests.rig import Rig, answers, instance, on_loop
+from tests.rig import Rig, answers, make_endpoint, on_loop
 from tests.test_core import SECOND_US, Desk
 
-PLACE = instance("i0", 1)
+PLACE = make_endpoint("i0", 1)
 
 
 def message(name: str, body: bytes = b"x", key: str = "") -> Message:
@@ -205,7 +205,7 @@
 
 @on_loop
 async def test_the_messages_of_one_turn_travel_in_one_call(tmp_path: Path) -> None:
-    async with Rig(tmp_path, all_ok, given=BULKY | REPORTING) as rig:
+    async with Rig(tmp_path, all_ok, settings_changes=BULKY | REPORTING) as rig:
         told: list[tuple[float | None, float | None]] = []
         settle = rig.sender.exchange.settle
 
@@ -217,7 +217,7 @@
         rig.sender.exchange.settle = see  # type: ignore[method-assign]
         await hand_in(rig, "a", "b", "c", cls="entry-fee", key="k")
         for name in "abc":
-            assert await rig.ended(name) == End(Ending.DELIVERED)
+            assert await rig.wait_for_end(name) == End(Ending.DELIVERED)
         (request,) = rig.servers[0].requests
         doc = json.loads(request.body)
         assert request.target == "/inbox/bulk" and {i["id"]: i["key"] for i in doc} == {
@@ -228,14 +228,14 @@
 
 @on_loop
 async def test_a_body_that_is_too_long_is_split(tmp_path: Path) -> None:
-    async with Rig(tmp_path, all_ok, given=BULKY) as rig:
+    async with Rig(tmp_path, all_ok, settings_changes=BULKY) as rig:
         exchange = rig.sender.exchange
         for name in "abc":
             due = exchange.clock.unix_us() + 3 * SECOND_US
             exchange.submit(Message(name, "album-update", "a", 7, due, bytes(30_000), "platform"))
         exchange.pump()
         for name in "abc":
-            assert await rig.ended(name) == End(Ending.DELIVERED)
+            assert await rig.wait_for_end(name) == End(Ending.DELIVERED)
         calls = rig.servers[0].requests
         assert [len(ids(c)) for c in calls] == [1, 1, 1] and rig.servers[0].connections == 1
 
@@ -250,11 +250,11 @@
             200, {}, json.dumps([{"id": i, "state": states.get(i, "ok")} for i in ids(request)]).encode()
         )
 
-    async with Rig(tmp_path, mixed, given=BULKY) as rig:
+    async with Rig(tmp_path, mixed, settings_changes=BULKY) as rig:
         await hand_in(rig, "a", "b", "c", cls="print-order")
-        assert await rig.ended("a") == End(Ending.DELIVERED)
-        assert await rig.ended("b") == End(Ending.OVER)
-        assert await rig.ended("c") == End(Ending.FAILED)  # it may have run, and may not be repeated
+        assert await rig.wait_for_end("a") == End(Ending.DELIVERED)
+        assert await rig.wait_for_end("b") == End(Ending.OVER)
+        assert await rig.wait_for_end("c") == End(Ending.FAILED)  # it may have run, and may not be repeated
         assert set(rig.sender.journal.owed) == set()
 
 
@@ -266,9 +266,9 @@
     async def picky(request: Request) -> Reply:
         return Reply(status if request.target == "/inbox/bulk" else 200, {})
 
-    async with Rig(tmp_path, picky, given=BULKY) as rig:
+    async with Rig(tmp_path, picky, settings_changes=BULKY) as rig:
         await hand_in(rig, "a", "b", cls="print-order")
-        assert [await rig.ended(n) for n in "ab"] == [End(Ending.DELIVERED)] * 2
+        assert [await rig.wait_for_end(n) for n in "ab"] == [End(Ending.DELIVERED)] * 2
         assert [c.target for c in rig.servers[0].requests] == ["/inbox/bulk", "/inbox", "/inbox"]
 
 
@@ -276,7 +276,7 @@
 async def test_an_answer_cut_at_any_byte_delivers_none_and_repeats_no_order(tmp_path: Path) -> None:
     body = b'[{"id":"a","state":"ok"},{"id":"b","state":"ok"}]' + b" " * 10  # readable before its end
     whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    async with Rig(tmp_path, answers(Reply(200, {})), given=BULKY) as rig:
+    async with Rig(tmp_path, answers(Reply(200, {})), settings_changes=BULKY) as rig:
         calls = 0
         for cut in range(0, len(whole) + 1):
 
@@ -295,13 +295,13 @@
             server = await asyncio.start_server(accept, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             exchange, dest = rig.sender.exchange, 100 + cut
-            exchange.list_instances(UpdateScope.DELTA, [instance(f"s{cut}", port, dest)])
+            exchange.list_instances(UpdateScope.DELTA, [make_endpoint(f"s{cut}", port, dest)])
             names = [f"a{cut:03d}", f"b{cut:03d}"]
             for name in names:
                 due = exchange.clock.unix_us() + 3 * SECOND_US
                 exchange.submit(Message(name, "print-order", "a", dest, due, b"x", "platform"))
             exchange.pump()
-            ends = [(await rig.ended(name)).ending for name in names]
+            ends = [(await rig.wait_for_end(name)).ending for name in names]
             assert ends == [Ending.DELIVERED if cut == len(whole) else Ending.FAILED] * 2, cut
             server.close()
         assert calls == len(whole) + 1  # none was sent again
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""What comes in the moment of a close: whatever was read, or stands at the port, is answered."""
+"""Requests that arrive during a close: whatever was read, or waits in the backlog, is answered."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.rig import Rig, answers, on_loop, resp, silent
 
 OK = Reply(200, {})
-READ_MOST = 256 * 1024  # that asyncio's transport reads at once
+MAX_TRANSPORT_READ_BYTES = 256 * 1024  # in one read of an asyncio transport
 PING, PONG = resp("PING"), b"+PONG\r\n"
 EXPORT = (
     b"POST /v1/logs HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-protobuf\r\nContent-Length: 0\r\n\r\n"
@@ -29,75 +29,75 @@
 FRONT = pytest.mark.parametrize("number", [PLATFORM, OTLP])
 
 
-class Raw:
-    """A client on a plain socket: it connects and writes in the test's own step, with no turn of the loop."""
+class SocketClient:
+    """A client on a plain socket, which connects and writes without running the event loop."""
 
-    def __init__(self, front: Listener, *said: bytes) -> None:
+    def __init__(self, front: Listener, *chunks: bytes) -> None:
         self.sock = socket.create_connection(("127.0.0.1", front.port))
-        self.say(*said)
+        self.send(*chunks)
 
-    def say(self, *said: bytes) -> None:
-        self.sock.sendall(b"".join(said))
+    def send(self, *chunks: bytes) -> None:
+        self.sock.sendall(b"".join(chunks))
 
-    async def heard(self) -> bytes:
-        """All that comes until the connection ends, however it ends."""
+    async def read_all(self) -> bytes:
+        """Return all input until the connection ends; b"RESET" is appended if it was reset."""
         self.sock.setblocking(False)
         data, loop = b"", asyncio.get_running_loop()
         with self.sock:
             try:
-                while more := await asyncio.wait_for(loop.sock_recv(self.sock, 1 << 16), 5):
-                    data += more
+                while chunk := await asyncio.wait_for(loop.sock_recv(self.sock, 1 << 16), 5):
+                    data += chunk
             except ConnectionError:
                 return data + b"RESET"
         return data
 
-    async def until(self, front: Listener, state: State) -> Stream:
-        """The one stream of the front, once it is in that state."""
+    async def wait_for_state(self, front: Listener, state: State) -> Stream:
+        """Wait until the only stream of the front is in a state, and return it."""
         while [at for at, _ in front.streams.values()] != [state]:
             await asyncio.sleep(0)
         return next(iter(front.streams))
 
 
-def step_of(front: Listener, state: State, action: Callable[[], None]) -> None:
-    """Do something once, in the loop's turn behind the one in which a connection comes to this state."""
-    plain = front.mark
+def run_after_state(front: Listener, state: State, action: Callable[[], None]) -> None:
+    """Run an action once, in the loop iteration after the one in which a connection enters a state."""
+    original_mark = front.mark
 
     def mark(stream: Stream, at: State) -> None:
-        plain(stream, at)
+        original_mark(stream, at)
         if at is state and front.mark is mark:
-            front.mark = plain  # type: ignore[method-assign]
+            front.mark = original_mark  # type: ignore[method-assign]
             asyncio.get_running_loop().call_soon(action)
 
     front.mark = mark  # type: ignore[assignment, method-assign]
 
 
 @FRONT
-@pytest.mark.parametrize("ends", [False, True])
-@pytest.mark.parametrize("turns", range(7))
+@pytest.mark.parametrize("shuts_down", [False, True])
+@pytest.mark.parametrize("iterations", range(7))
 @on_loop
-async def test_what_stands_at_the_port_is_answered_before_that_closes(
-    tmp_path: Path, number: int, ends: bool, turns: int
+async def test_requests_in_the_backlog_are_answered_before_the_port_closes(
+    tmp_path: Path, number: int, shuts_down: bool, iterations: int
 ) -> None:
-    """Closed after each number of the loop's turns: waiting, accepted, and becoming a stream."""
+    """The port closes after some loop iterations: connections wait, are accepted, or become streams then."""
     async with Rig(tmp_path, answers(OK)) as rig:
         front = rig.sender.fronts[number][0]
-        clients = [Raw(front, REQUESTS[number]) for _ in range(ACCEPT_BATCH_COUNT + 4)]
-        for client in clients if ends else ():
+        clients = [SocketClient(front, REQUESTS[number]) for _ in range(ACCEPT_BATCH_COUNT + 4)]
+        for client in clients if shuts_down else ():
             client.sock.shutdown(socket.SHUT_WR)
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         front.drain()
-        heard = await asyncio.gather(*(client.heard() for client in clients))
-        assert [len(data.split(ANSWERS[number])) - 1 for data in heard] == [1] * len(clients)
-        assert not any(data.endswith(b"RESET") for data in heard)
+        received = await asyncio.gather(*(client.read_all() for client in clients))
+        assert [len(data.split(ANSWERS[number])) - 1 for data in received] == [1] * len(clients)
+        assert not any(data.endswith(b"RESET") for data in received)
         with pytest.raises(ConnectionRefusedError):
-            Raw(front)
+            SocketClient(front)
         while not front.gone:
             await asyncio.sleep(0)
 
 
 @on_loop
-async def test_a_connection_is_kept_though_there_is_no_descriptor_for_the_next(
+async def test_an_accepted_connection_is_kept_when_descriptors_run_out_for_the_next(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with Rig(tmp_path) as rig:
@@ -110,64 +110,64 @@
             accepted.append(taken := accept(sock))
             return taken
 
-        client = Raw(front, PING)
+        client = SocketClient(front, PING)
         monkeypatch.setattr(socket.socket, "accept", accept_one)
-        await client.until(front, State.IDLE)
+        await client.wait_for_state(front, State.IDLE)
         assert accepted[1] is None
         front.drain()
-        assert await client.heard() == PONG
+        assert await client.read_all() == PONG
 
 
 @FRONT
 @LEAVE
 @pytest.mark.parametrize("begun", [False, True])
 @on_loop
-async def test_a_new_connection_is_waited_for_and_ends_behind_its_answer(
+async def test_a_new_connection_is_served_and_closed_after_its_answer_while_leaving(
     tmp_path: Path, number: int, leave: Callable[[Listener], None], begun: bool
 ) -> None:
-    """It was closed at once, with its first request on the way or come by half."""
+    """New connections were closed at once, with their first request on its way or partly received."""
     async with Rig(tmp_path, answers(OK)) as rig:
         front, request = rig.sender.fronts[number][0], REQUESTS[number]
-        client = Raw(front)
-        await client.until(front, State.NEW)
+        client = SocketClient(front)
+        await client.wait_for_state(front, State.NEW)
         half = 6 if begun else 0
-        client.say(request[:half])
+        client.send(request[:half])
         if begun:
-            await client.until(front, State.OWING)
+            await client.wait_for_state(front, State.OWING)
         leave(front)
         for _ in range(5):
             await asyncio.sleep(0)
-        client.say(request[half:])
-        said = ANSWERS[number] if leave is Listener.drain or number == OTLP else b"-ERR lame duck"
-        heard = await client.heard()
-        assert heard.startswith(said) and not heard.endswith(b"RESET")
+        client.send(request[half:])
+        expected = ANSWERS[number] if leave is Listener.drain or number == OTLP else b"-ERR lame duck"
+        received = await client.read_all()
+        assert received.startswith(expected) and not received.endswith(b"RESET")
 
 
 @LEAVE
 @on_loop
-async def test_a_new_connection_that_says_nothing_is_not_waited_for_long(
+async def test_a_silent_new_connection_is_closed_soon_while_leaving(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, leave: Callable[[Listener], None]
 ) -> None:
     monkeypatch.setattr(net_listener, "LEAVING_FIRST_BYTE_TIMEOUT_US", 1)
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
         front.owed_us = 60_000_000
-        client = Raw(front)
-        await client.until(front, State.NEW)
+        client = SocketClient(front)
+        await client.wait_for_state(front, State.NEW)
         leave(front)
-        assert await client.heard() == b""
+        assert await client.read_all() == b""
 
 
 @LEAVE
 @on_loop
-async def test_commands_that_fill_a_chunk_each_are_all_answered(
+async def test_commands_that_fill_a_read_chunk_are_all_answered_while_leaving(
     tmp_path: Path, leave: Callable[[Listener], None]
 ) -> None:
-    """Behind the first the inward ring was empty, and the rest, though read, was closed upon."""
+    """The buffer was empty after the first command, and the connection was closed before the others."""
     async with Rig(tmp_path, silent) as rig:
         front = rig.sender.fronts[0][0]
-        client = Raw(front, PING)
-        await client.until(front, State.IDLE)
+        client = SocketClient(front, PING)
+        await client.wait_for_state(front, State.IDLE)
         command = submit(
             "m0",
             b"x"
@@ -176,9 +176,9 @@
             ),
         )
         assert len(command) == READ_CHUNK_BYTES
-        client.say(command, submit("m1", b"x"), submit("m2", b"x"))
+        client.send(command, submit("m1", b"x"), submit("m2", b"x"))
         leave(front)
-        assert await client.heard() == PONG + b"+OK\r\n" * 3
+        assert await client.read_all() == PONG + b"+OK\r\n" * 3
         assert set(rig.sender.journal.owed) == {"m0", "m1", "m2"}
 
 
@@ -189,10 +189,13 @@
 @LEAVE
 @pytest.mark.parametrize("busy", [False, True])
 @on_loop
-async def test_export_requests_that_came_at_once_are_all_answered(
+async def test_pipelined_export_requests_are_all_answered_while_leaving(
     tmp_path: Path, leave: Callable[[Listener], None], busy: bool
 ) -> None:
-    """Told to leave while the first is answered, or in the turn behind that: the second stood in h11."""
+    """The listener drains, or goes into lame duck, during or right after the first answer.
+
+    The second request is in the buffer of h11 then.
+    """
     released = asyncio.Event()
 
     async def behave(_request: Request) -> Reply:
@@ -201,74 +204,77 @@
 
     async with Rig(tmp_path, behave) as rig:
         front = rig.sender.fronts[OTLP][0]
-        client = Raw(front, EXPORT, EXPORT.replace(b"Host: x", b"Host: x\r\nX-Id: second"))
-        await rig.servers[0].asked(1)
+        client = SocketClient(front, EXPORT, EXPORT.replace(b"Host: x", b"Host: x\r\nX-Id: second"))
+        await rig.servers[0].wait_for_requests(1)
         if busy:
             leave(front)
         else:
-            step_of(front, State.IDLE, lambda: leave(front))
+            run_after_state(front, State.IDLE, lambda: leave(front))
         released.set()
-        heard = await client.heard()
-        assert heard.count(b"HTTP/1.1 200") == 2 and not heard.endswith(b"RESET")
+        received = await client.read_all()
+        assert received.count(b"HTTP/1.1 200") == 2 and not received.endswith(b"RESET")
 
 
 @on_loop
-async def test_a_command_that_has_been_read_whole_makes_no_room(tmp_path: Path) -> None:
-    """In the turn in which a connection lets the others go first, a full sender took it for an idle one."""
+async def test_a_connection_with_a_buffered_command_is_not_evicted(tmp_path: Path) -> None:
+    """While a connection yields to others between two commands, a full sender evicted it as idle."""
     async with Rig(tmp_path) as rig:
-        front, made = rig.sender.fronts[0][0], list[bool]()
+        front, evictions = rig.sender.fronts[0][0], list[bool]()
 
-        def make_room() -> None:
+        def evict() -> None:
             for stream, (state, _) in front.streams.items():
                 front.streams[stream] = state, 0
-            made.append(front._evict_connection())
+            evictions.append(front._evict_connection())
 
-        step_of(front, State.IDLE, make_room)
-        client = Raw(front, PING * 2)
-        await client.until(front, State.IDLE)
+        run_after_state(front, State.IDLE, evict)
+        client = SocketClient(front, PING * 2)
+        await client.wait_for_state(front, State.IDLE)
         front.drain()
-        assert await client.heard() == PONG * 2 and made == [False]
+        assert await client.read_all() == PONG * 2 and evictions == [False]
 
 
 @on_loop
-async def test_a_silent_connection_makes_room_before_one_that_has_begun(tmp_path: Path) -> None:
+async def test_a_silent_connection_is_evicted_before_one_with_a_partial_request(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
-        begun = Raw(front, PING[:5])
-        owing = await begun.until(front, State.OWING)
-        still = Raw(front)
+        begun = SocketClient(front, PING[:5])
+        owing = await begun.wait_for_state(front, State.OWING)
+        silent_client = SocketClient(front)
         while len(front.streams) < 2:
             await asyncio.sleep(0)
         for stream, (state, _) in front.streams.items():
             front.streams[stream] = state, 0
         assert front._evict_connection() and owing in front.streams and not owing.closing
-        assert await still.heard() == b""
-        begun.say(PING[5:])
-        await begun.until(front, State.IDLE)
+        assert await silent_client.read_all() == b""
+        begun.send(PING[5:])
+        await begun.wait_for_state(front, State.IDLE)
 
 
 @pytest.mark.parametrize(
     "rested_us", [0, net_listener.FIRST_BYTE_GRACE_US - 1, net_listener.REQUEST_TIMEOUT_US - 1]
 )
 @on_loop
-async def test_the_time_for_a_request_runs_from_its_first_byte(tmp_path: Path, rested_us: int) -> None:
-    """It ran from connecting. A late first byte still ends in the time that is owed to bad input."""
+async def test_the_time_limit_of_a_request_starts_at_its_first_byte(tmp_path: Path, rested_us: int) -> None:
+    """The time ran from the opening of the connection.
+
+    With a late first byte it still ends in time for the answer to bad input.
+    """
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
-        client = Raw(front)
-        stream = await client.until(front, State.NEW)
+        client = SocketClient(front)
+        stream = await client.wait_for_state(front, State.NEW)
         opened = front._now() - rested_us
         front.streams[stream] = State.NEW, opened
-        client.say(PING[:5])
-        await client.until(front, State.OWING)
+        client.send(PING[:5])
+        await client.wait_for_state(front, State.OWING)
         _, since = front.streams[stream]
         late = rested_us >= net_listener.FIRST_BYTE_GRACE_US
         assert since == opened + net_listener.FIRST_BYTE_GRACE_US if late else since >= opened + rested_us
 
 
 @on_loop
-async def test_what_is_unsent_at_a_close_still_goes_out() -> None:
-    """The socket's sending was ended under the transport, which then could not write what it held."""
+async def test_unsent_data_is_sent_after_a_close() -> None:
+    """The socket was shut down while the transport still had unsent data, which was lost."""
     loop, accepted = asyncio.get_running_loop(), asyncio.Queue[Stream]()
     server = await loop.create_server(lambda: stream_protocol(accepted.put_nowait), "127.0.0.1", 0)
     async with server:
@@ -279,32 +285,35 @@
                 stream.send_last(bytes(1 << 16))
                 sent += 1 << 16
             stream.close_at_once()
-            came = 0
-            while more := await loop.sock_recv(client, 1 << 16):
-                came += len(more)
-            assert came == sent
+            received_bytes = 0
+            while chunk := await loop.sock_recv(client, 1 << 16):
+                received_bytes += len(chunk)
+            assert received_bytes == sent
 
 
 @pytest.mark.parametrize("piece", [1, 7, 1 << 20])
 @on_loop
-async def test_every_command_of_a_flood_is_answered_however_it_is_cut(tmp_path: Path, piece: int) -> None:
-    """Hundreds at once on one connection, which ends its sending behind them and is drained in between."""
+async def test_every_command_of_a_flood_is_answered_for_any_packet_size(tmp_path: Path, piece: int) -> None:
+    """Hundreds of commands arrive on one connection, whose client shuts down its sending side after them.
+
+    The listener drains meanwhile.
+    """
     async with Rig(tmp_path, silent, most_held=10) as rig:
         front = rig.sender.fronts[0][0]
-        loud, quiet = Raw(front), Raw(front)
-        loud.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        busy, quiet = SocketClient(front), SocketClient(front)
+        busy.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         data = b"".join(submit(f"m{n}", b"\r\n*" * 9) + resp("ping") for n in range(150))
         for at in range(0, len(data), piece):
-            loud.say(data[at : at + piece])
+            busy.send(data[at : at + piece])
             if at % 1000 == 0:
                 await asyncio.sleep(0)
-        loud.sock.shutdown(socket.SHUT_WR)
-        quiet.say(PING)
+        busy.sock.shutdown(socket.SHUT_WR)
+        quiet.send(PING)
         while [state for state, _ in front.streams.values()].count(State.IDLE) < 1:
             await asyncio.sleep(0)
         front.drain()
-        assert await quiet.heard() == PONG
-        lines = (await loud.heard()).splitlines()
+        assert await quiet.read_all() == PONG
+        lines = (await busy.read_all()).splitlines()
         assert lines[1::2] == [PONG.strip()] * 150
         assert len(lines[::2]) == 150 and lines[0] == b"+OK"
         assert {line[:5] for line in lines[::2]} == {b"+OK", b"-BUSY"}
@@ -313,20 +322,22 @@
 @pytest.mark.parametrize("reset", [False, True])
 @FRONT
 @on_loop
-async def test_what_much_input_leaves_behind_is_nothing(tmp_path: Path, number: int, reset: bool) -> None:
-    """A client sends much at once, reads nothing, and goes."""
+async def test_a_client_that_sends_a_lot_and_leaves_leaves_no_state_behind(
+    tmp_path: Path, number: int, reset: bool
+) -> None:
+    """A client sends a lot at once, reads nothing, and leaves: no state and no memory may remain."""
     async with Rig(tmp_path, answers(OK)) as rig:
         front = rig.sender.fronts[number][0]
-        client = Raw(front)
-        stream = await client.until(front, State.NEW)
+        client = SocketClient(front)
+        stream = await client.wait_for_state(front, State.NEW)
         client.sock.setblocking(False)
         with pytest.raises(BlockingIOError):
-            while True:  # until the kernels hold no more, for nothing is read meanwhile
+            while True:  # until the kernel buffers are full, as nothing is read meanwhile
                 client.sock.send(REQUESTS[number] * 1000)
         for _ in range(20):
             await asyncio.sleep(0)
             assert len(stream.inward) <= stream.inward.limit
-            assert len(stream._reader._buffer) <= 2 * READ_CHUNK_BYTES + READ_MOST  # type: ignore[attr-defined]
+            assert len(stream._reader._buffer) <= 2 * READ_CHUNK_BYTES + MAX_TRANSPORT_READ_BYTES  # type: ignore[attr-defined]
         linger = (1).to_bytes(4, "little") + bytes(4)
         if reset:
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -27,11 +27,11 @@
             await server.listen_at(path)
         rig.callback(server.close)
         assert stat.S_IMODE(path.stat().st_mode) == 0o600
-        rig.once_listed(99)
+        rig.add_removed_destinations(99)
         client = await rig.client()
         await client.submit("m1", dest=99)
         await client.submit("m2")
-        await rig.servers[0].asked(1)  # the module has seen both by then
+        await rig.servers[0].wait_for_requests(1)  # the module has seen both by then
         view = await asyncio.to_thread(next, snapshots(path))
         assert (view["owed"], view["out"]) == (2, 1)
         assert {d["dest"]: d["held"] for d in view["destinations"]} == {7: 0, 99: 1}
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -94,7 +94,7 @@
             source = ConsulSource(rig.sender.exchange, ("127.0.0.1", agent.port), (), "sender")
             rig.callback(source.close)
             source.start()
-            await agent.asked(5)
+            await agent.wait_for_requests(5)
             assert {r.target.partition("index=")[2] for r in agent.requests if "labs" in r.target} == {
                 "0&wait=60s",
                 "4&wait=60s",
@@ -103,7 +103,7 @@
             client = await rig.client()
             for n in range(3):
                 await client.submit(f"m{n}")
-                await rig.ended(f"m{n}")
+                await rig.wait_for_end(f"m{n}")
             assert not rig.servers[0].requests and len(rig.servers[1].requests) == 3
 
 
@@ -115,7 +115,7 @@
             source = ConsulSource(rig.sender.exchange, ("127.0.0.1", agent.port), ("labs",), "")
             rig.callback(source.close)
             source.start()
-            await agent.asked(6)
+            await agent.wait_for_requests(6)
             asked = [int(r.target.partition("index=")[2].partition("&")[0]) for r in agent.requests]
             assert asked == [0, 8, 0, 9, 0, 3]
             assert not rig.sender.exchange.table.names()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -15,7 +15,7 @@
 from rowanrack.store.journal import Journal
 from rowanspindle import EndpointStatus, Fail, Result, UpdateScope
 from rowanspindle.wire import parse_settings
-from tests.rig import SETTINGS, instance
+from tests.rig import SETTINGS, make_endpoint
 
 SECOND_US = 1_000_000
 
@@ -36,7 +36,7 @@
         )
         self.exchange.side = self
         self.exchange.listeners["platform"] = lambda m, end: self.ends.update({m.id: end})
-        self.exchange.list_instances(UpdateScope.FULL, [instance("i0", 1)])
+        self.exchange.list_instances(UpdateScope.FULL, [make_endpoint("i0", 1)])
 
     def now_us(self) -> int:
         return self.now
@@ -76,7 +76,7 @@
 def test_a_call_that_waits_for_its_connection_heeds_a_drain(tmp_path: Path, status: EndpointStatus) -> None:
     desk = Desk(tmp_path)
     attempt = desk.submit("m1")
-    desk.exchange.list_instances(UpdateScope.DELTA, [replace(instance("i0", 1), status=status)])
+    desk.exchange.list_instances(UpdateScope.DELTA, [replace(make_endpoint("i0", 1), status=status)])
     assert not desk.exchange.begin(attempt) and desk.abandoned == [attempt]
 
 
@@ -146,8 +146,8 @@
 
 def test_a_whole_list_replaces_only_its_source(tmp_path: Path) -> None:
     desk = Desk(tmp_path)
-    desk.exchange.list_instances(UpdateScope.FULL, [instance("c0", 2), instance("c1", 3)], "consul")
-    desk.exchange.list_instances(UpdateScope.FULL, [instance("c1", 3)], "consul")
+    desk.exchange.list_instances(UpdateScope.FULL, [make_endpoint("c0", 2), make_endpoint("c1", 3)], "consul")
+    desk.exchange.list_instances(UpdateScope.FULL, [make_endpoint("c1", 3)], "consul")
     assert desk.exchange.table.names() == {"i0", "c1"}
 
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -43,15 +43,15 @@
     async with Rig(tmp_path, late) as rig, Process(rig, tmp_path) as process:
         client = await process.client()
         assert await client.submit("m1", "print-order", d=20_000) == b"+OK\r\n"
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         limit(process.child.pid, 100)  # under what the file has: its reserved room fails too
         answer.set()
-        await process.logged("the disk refuses writes, nothing new is taken: File too large")
+        await process.wait_for_log("the disk refuses writes, nothing new is taken: File too large")
         assert (await client.submit("m2")).startswith(b"-BUSY")
         owed = peek(process.folder).owed
         assert list(owed) == ["m1"] and owed["m1"].unsettled
         limit(process.child.pid, resource.RLIM_INFINITY)
-        await process.logged("the disk has room again")  # though nobody asks it for anything
+        await process.wait_for_log("the disk has room again")  # though nobody asks it for anything
         assert peek(process.folder).ended("m1") == End(Ending.DELIVERED)
         process.child.kill()
         await process.child.wait()
@@ -61,7 +61,7 @@
         again = await process.client()
         assert await again.submit("m1", "print-order", d=20_000) == b"+OK\r\n"  # known, with its end
         assert await again.submit("m4") == b"+OK\r\n"
-        assert [r.headers["x-txn"] for r in await rig.servers[0].asked(2)] == ["m1", "m4"]
+        assert [r.headers["x-txn"] for r in await rig.servers[0].wait_for_requests(2)] == ["m1", "m4"]
 
 
 @pytest.mark.parametrize("then_ends", [True, False])
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -12,7 +12,7 @@
 from rowanrack.net.http import Reply
 from rowanrack.store.journal import TIDY_EACH, Journal
 from rowanspindle import EndpointStatus, UpdateScope
-from tests.rig import Rig, answers, instance, on_loop
+from tests.rig import Rig, answers, make_endpoint, on_loop
 
 OK = Reply(200, {})
 
@@ -23,11 +23,13 @@
     """They stayed open for seconds, and counted against what the address's next instance takes."""
     async with Rig(tmp_path, answers(OK)) as rig:
         await (await rig.client()).submit("m1")
-        await rig.ended("m1")
+        await rig.wait_for_end("m1")
         pool, (stand_in,) = rig.sender.pool, rig.servers
         assert len(pool.idle["i0"]) == 1
         (serving,) = stand_in.tasks
-        rig.sender.exchange.list_instances(UpdateScope.DELTA, [replace(rig.known[0], status=status)])
+        rig.sender.exchange.list_instances(
+            UpdateScope.DELTA, [replace(rig.known_endpoints[0], status=status)]
+        )
         await asyncio.wait({serving})  # it has seen the end of its connection
         assert not pool.idle and not pool._idle_by_age
 
@@ -42,11 +44,11 @@
 
     async with Rig(tmp_path, held_up) as rig:
         await (await rig.client()).submit("m1")
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         (serving,) = rig.servers[0].tasks
         rig.sender.exchange.list_instances(UpdateScope.FULL, ())
         answer.set()
-        await rig.ended("m1")
+        await rig.wait_for_end("m1")
         assert not rig.sender.pool.idle
         await asyncio.wait({serving})
 
@@ -57,10 +59,10 @@
     async with Rig(tmp_path, answers(OK)) as rig:
         client, exchange = await rig.client(), rig.sender.exchange
         for n in range(100):
-            exchange.list_instances(UpdateScope.FULL, [instance(f"n{n}", rig.servers[0].port)])
+            exchange.list_instances(UpdateScope.FULL, [make_endpoint(f"n{n}", rig.servers[0].port)])
             exchange._waits.set(f"n{n}", 1 << 60)
             await client.submit(f"m{n}")
-            await rig.ended(f"m{n}")
+            await rig.wait_for_end(f"m{n}")
         exchange.list_instances(UpdateScope.FULL, ())
         exchange.pump()
         assert not rig.sender.pool.idle and not rig.sender.pool._idle_by_age and not exchange._waits
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -64,22 +64,22 @@
     async with Rig(tmp_path, answers(Reply(500, {}), Reply(200, {}))) as rig:
         client = await rig.client()
         await client.submit("m1", "entry-fee", key="5c0f")
-        first, second = await rig.servers[0].asked(2)
+        first, second = await rig.servers[0].wait_for_requests(2)
         assert first.headers["idempotency-key"] == second.headers["idempotency-key"] == "5c0f"
         await client.submit("m2")
-        assert "idempotency-key" not in (await rig.servers[0].asked(3))[2].headers
+        assert "idempotency-key" not in (await rig.servers[0].wait_for_requests(3))[2].headers
 
 
 @on_loop
 async def test_a_key_outlasts_the_process(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(Reply(500, {}))) as rig:
         await (await rig.client()).submit("m1", "entry-fee", key="5c0f", d=20_000)
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         rig.sender.close()
         rig.servers[0].behave = answers(Reply(200, {}))
         before = len(rig.servers[0].requests)
         await rig.start()
-        again = (await rig.servers[0].asked(before + 1))[-1]
+        again = (await rig.servers[0].wait_for_requests(before + 1))[-1]
         assert (again.headers["x-txn"], again.headers["idempotency-key"]) == ("m1", "5c0f")
 
 
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -29,7 +29,7 @@
 from rowanspindle.list_watch import ListWatch
 from rowanspindle.wire import parse_settings
 from tests import rig as shared
-from tests.rig import SETTINGS, Rig, entry, instance, on_loop
+from tests.rig import SETTINGS, Rig, discovery_entry, make_endpoint, on_loop
 from tests.rig import silent as silent_endpoint
 from tests.test_core import SECOND_US, Desk
 
@@ -97,7 +97,7 @@
         self.desk = Desk(folder, SETTINGS | given)
         self.exchange, self.began = self.desk.exchange, self.desk.now
         self.plan, self.seq = list(plan), 5
-        self.hosts = {"i0": (5, entry("i0", 1))}
+        self.hosts = {"i0": (5, discovery_entry("i0", 1))}
         self.calls: list[tuple[float, int, str]] = []  # when, at which port, and what was asked
         self.opened: set[int] = {OLD, NEW}
         self.known_s: float | None = None
@@ -107,7 +107,7 @@
         self.outage: Outage | None = None
         self.watch = DiscoveryWatch(self.exchange, "discovery", OLD, 5)
         self.exchange.watch = self.watch.watch
-        self.at(news_s, lambda: self.change(entry("i0", 1, health="DRAINING")))
+        self.at(news_s, lambda: self.change(discovery_entry("i0", 1, health="DRAINING")))
 
     @property
     def now_s(self) -> float:
@@ -420,7 +420,7 @@
     kept = keeper(breaks, news_s=99)
 
     def anew() -> None:
-        kept.seq, kept.hosts = 2, {"i1": (1, entry("i1", 1))}
+        kept.seq, kept.hosts = 2, {"i1": (1, discovery_entry("i1", 1))}
 
     kept.at(3.0, anew)
     await kept.run(17)
@@ -435,7 +435,9 @@
 
     def part(_keeper: Keeper, wire: Wire, _index: int | None, _wait: int) -> None:
         whole = scope == "whole"
-        wire.feed(framed(json.dumps({"seq": 5, "whole": whole, "hosts": [entry("i0", 1)]}).encode()))
+        wire.feed(
+            framed(json.dumps({"seq": 5, "whole": whole, "hosts": [discovery_entry("i0", 1)]}).encode())
+        )
 
     return part
 
@@ -460,16 +462,16 @@
 ) -> None:
     """It froze the whole list for as long as it stood there. What was known of it counts no more."""
     kept = keeper(news_s=5.0)
-    kept.hosts["i1"] = (5, entry("i1", 2))
-    kept.exchange.list_instances(UpdateScope.FULL, [instance("i0", 1), instance("i1", 2)])
-    kept.at(3.0, lambda: kept.change(entry("i1", 2) | bad))
-    kept.at(4.0, lambda: kept.change(entry("i2", 3)))
+    kept.hosts["i1"] = (5, discovery_entry("i1", 2))
+    kept.exchange.list_instances(UpdateScope.FULL, [make_endpoint("i0", 1), make_endpoint("i1", 2)])
+    kept.at(3.0, lambda: kept.change(discovery_entry("i1", 2) | bad))
+    kept.at(4.0, lambda: kept.change(discovery_entry("i2", 3)))
     await kept.run(4.5)
     assert kept.exchange.table.names() == {"i0", "i2"}
     await kept.run(20)
     assert kept.known_s is not None and kept.known_s <= 5.2
     assert kept.tries == 1 and len(kept.calls) <= 9
-    kept.change(entry("i1", 2))
+    kept.change(discovery_entry("i1", 2))
     await kept.run(21)
     assert kept.exchange.table.listed("i1")
 
@@ -528,7 +530,7 @@
     """What the agent has counts as told from the first moment of a process, and as soon after a break."""
     kept = keeper(news_s=0.0)
     kept.watch = DiscoveryWatch(kept.exchange, "discovery", OLD, 5, pushed=True)
-    kept.change(entry("i9", 9))
+    kept.change(discovery_entry("i9", 9))
     first = asyncio.ensure_future(kept.watch.first())
     await kept.run(0.02)
     assert first.done() and "i9" in kept.exchange.table.names() and kept.known_s is not None
@@ -546,10 +548,10 @@
 ) -> None:
     async with Rig(tmp_path, silent_endpoint) as rig:
         await (await rig.client()).submit("m1")
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         rig.sender.close()
-        doc = {"seq": 2, "whole": False, "hosts": [entry("i0", 1, health="DRAINING")]}
-        rig.platform.broken = [Reply(200, {}, json.dumps(doc).encode())]
+        doc = {"seq": 2, "whole": False, "hosts": [discovery_entry("i0", 1, health="DRAINING")]}
+        rig.platform.broken_replies = [Reply(200, {}, json.dumps(doc).encode())]
         monkeypatch.setattr(shared, "PlatformConfig", functools.partial(PlatformConfig, pushed=True))
         await rig.start()
         assert not rig.sender.exchange.table.listed("i0") and not rig.sender.pool.tasks
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""A core that is full: rules hold in late rounds, and what is shed goes in the right order."""
+"""Overload of the core: guarantees hold when rounds are late, and load is shed in the right order."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 from tests.test_core import SECOND_US, Desk
 from tests.test_otlp import logs
 
-MS = 1000
+MILLISECOND_US = 1000
 
 
-def spans(load_shedder: LoadShedder, count: int, late_us: int, strangers: float = 0.0) -> None:
-    """So many spans in which every round is so late, and strangers use that share of the time."""
+def run_spans(load_shedder: LoadShedder, count: int, late_us: int, new_client_share: float = 0.0) -> None:
+    """Simulate spans in which every round is late and new clients use a share of the CPU time."""
     for _ in range(count):
         for _ in range(10):
-            load_shedder.spent(strangers * load.SPAN_US / 10)
+            load_shedder.spent(new_client_share * load.SPAN_US / 10)
             load_shedder._test_now += load.SPAN_US // 10  # type: ignore[attr-defined]
             load_shedder.record_delay(load_shedder._test_now, late_us)  # type: ignore[attr-defined]
 
@@ -53,141 +53,149 @@
     ("late_us", "level", "refuses"),
     [
         (0, Level.CALM, False),
-        (load.TIGHT_LATE_US - MS, Level.CALM, False),
+        (load.TIGHT_LATE_US - MILLISECOND_US, Level.CALM, False),
         (load.TIGHT_LATE_US, Level.TIGHT, False),
-        (load.HARD_LATE_US - MS, Level.TIGHT, False),
+        (load.HARD_LATE_US - MILLISECOND_US, Level.TIGHT, False),
         (load.HARD_LATE_US, Level.HARD, True),
     ],
 )
-def test_what_is_shed_follows_from_how_late_rounds_run(
+def test_the_level_of_load_shedding_follows_the_delay_of_rounds(
     load_shedder: LoadShedder, late_us: int, level: Level, refuses: bool
 ) -> None:
-    spans(load_shedder, 1, late_us)
+    run_spans(load_shedder, 1, late_us)
     assert load_shedder.level is level and any(load_shedder.refuses() for _ in range(10)) is refuses
 
 
-def test_one_late_turn_in_a_span_is_no_state(load_shedder: LoadShedder) -> None:
+def test_one_late_iteration_in_a_span_does_not_change_the_level(load_shedder: LoadShedder) -> None:
     for n in range(60):
-        load_shedder.record_delay(n * 10 * MS, 400 * MS if n == 30 else 0)
+        load_shedder.record_delay(n * 10 * MILLISECOND_US, 400 * MILLISECOND_US if n == 30 else 0)
     assert load_shedder.level is Level.CALM
 
 
-def test_a_span_in_which_nothing_ran_was_late_itself(load_shedder: LoadShedder) -> None:
+def test_a_span_in_which_nothing_ran_counts_as_late(load_shedder: LoadShedder) -> None:
     load_shedder.record_delay(5 * SECOND_US, 0)
     assert load_shedder.level is Level.HARD
 
 
-def test_a_level_ends_step_by_step_after_easy_spans(load_shedder: LoadShedder) -> None:
-    spans(load_shedder, 2, load.HARD_LATE_US)
+def test_the_level_falls_step_by_step_after_easy_spans(load_shedder: LoadShedder) -> None:
+    run_spans(load_shedder, 2, load.HARD_LATE_US)
     levels = list[Level]()
     for easy in (load.EASY_SPANS - 1, None, load.EASY_SPANS - 1, 1, load.EASY_SPANS):
         if easy is None:
-            spans(load_shedder, 1, int(load.HARD_LATE_US * 0.7))  # not late, nor easy: the count begins anew
+            run_spans(
+                load_shedder, 1, int(load.HARD_LATE_US * 0.7)
+            )  # neither late nor easy: the count restarts
         else:
-            load_shedder.refused_share = 0.0  # which keeps the level on
-            spans(load_shedder, easy, 0)
+            load_shedder.refused_share = 0.0  # a share above 0 would keep the level
+            run_spans(load_shedder, easy, 0)
         levels.append(load_shedder.level)
     assert levels == [Level.HARD, Level.HARD, Level.HARD, Level.TIGHT, Level.CALM]
 
 
-def test_on_call_reads_one_line_at_the_begin_and_one_at_the_end(
+def test_an_overload_logs_one_line_at_its_begin_and_one_at_its_end(
     load_shedder: LoadShedder, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    spans(load_shedder, 3, load.TIGHT_LATE_US, 0.3)
-    spans(load_shedder, 3, load.HARD_LATE_US)
+    run_spans(load_shedder, 3, load.TIGHT_LATE_US, 0.3)
+    run_spans(load_shedder, 3, load.HARD_LATE_US)
     while load_shedder.refused < 2:
         load_shedder.refuses()
-    spans(load_shedder, 9 * load.EASY_SPANS, 0)
+    run_spans(load_shedder, 9 * load.EASY_SPANS, 0)
     texts = [record.getMessage() for record in caplog.records]
     assert len(texts) == 2
     assert texts[0] == "the core is full: rounds are 50 ms late, strangers use 30% of the time"
     assert "has room again" in texts[1] and "2 messages were refused early" in texts[1]
 
 
-def test_strangers_wait_longer_while_they_use_more_than_their_share(load_shedder: LoadShedder) -> None:
-    spans(load_shedder, 3, 0, strangers=0.08)
+def test_penalties_of_new_clients_grow_while_they_use_more_than_their_share(
+    load_shedder: LoadShedder,
+) -> None:
+    run_spans(load_shedder, 3, 0, new_client_share=0.08)
     assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
-    spans(load_shedder, 30, load.HARD_LATE_US, strangers=0.08)  # too much when the core is full
+    run_spans(
+        load_shedder, 30, load.HARD_LATE_US, new_client_share=0.08
+    )  # over their share when the core is full
     assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_MOST_US, 100)
-    spans(load_shedder, 30, load.HARD_LATE_US, strangers=0.02)
+    run_spans(load_shedder, 30, load.HARD_LATE_US, new_client_share=0.02)
     assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
     assert load_shedder.penalties(16) == load.PENALTIES
 
 
-def test_as_many_are_refused_early_as_must_be(load_shedder: LoadShedder) -> None:
-    """All or none at a level left two thirds of a full core's work undone, and swung."""
+def test_the_share_of_early_refusals_follows_the_load(load_shedder: LoadShedder) -> None:
+    """Refusing all or none at a level left two thirds of the work of a full core undone, and oscillated."""
     shares = list[float]()
     for late_us in (load.HARD_LATE_US, load.HARD_LATE_US, int(load.HARD_LATE_US * 0.7), 0, 0, 0, 0, 0, 0, 0):
-        spans(load_shedder, 1, late_us)
+        run_spans(load_shedder, 1, late_us)
         shares.append(load_shedder.refused_share)
     assert shares[:5] == pytest.approx([0.25, 0.5, 0.5, 0.3, 0.18]) and shares[-1] == 0.0
     load_shedder.refused_share = 0.3
     refused = [bool(load_shedder.refuses()) for _ in range(40)]
     assert sum(refused) in (11, 12) and all(1 <= sum(refused[n : n + 8]) <= 3 for n in range(32))
-    spans(load_shedder, 1, load.HARD_LATE_US)
+    run_spans(load_shedder, 1, load.HARD_LATE_US)
     assert load_shedder.level is Level.HARD
 
 
-def test_connections_wait_while_strangers_use_more_than_their_share_of_a_full_core(
+def test_new_connections_are_paced_to_the_share_of_new_clients_on_a_full_core(
     load_shedder: LoadShedder,
 ) -> None:
     load_shedder.wasted(10 * SECOND_US)
     assert load_shedder.pace_us(0) == 0  # the core has room
-    spans(load_shedder, 1, load.TIGHT_LATE_US)
+    run_spans(load_shedder, 1, load.TIGHT_LATE_US)
     now, taken = load.SPAN_US, 0
     load_shedder.pace_us(now)
     load_shedder._debt_us = 0.0
-    while now < 20 * SECOND_US:  # each comes as soon as it may, and costs a millisecond
+    while now < 20 * SECOND_US:  # each connection comes as soon as it may, and costs 1 ms
         if wait_us := load_shedder.pace_us(now):
             assert wait_us <= load.PACE_MOST_US
             now += wait_us
         else:
-            load_shedder.wasted(1 * MS)
-            now, taken = now + 1 * MS, taken + 1
+            load_shedder.wasted(1 * MILLISECOND_US)
+            now, taken = now + 1 * MILLISECOND_US, taken + 1
     share = load.STRANGERS_SHARE[Level.TIGHT]
-    assert taken * MS == pytest.approx(19.5 * SECOND_US * share + load.DEBT_US, rel=0.05)
+    assert taken * MILLISECOND_US == pytest.approx(19.5 * SECOND_US * share + load.DEBT_US, rel=0.05)
 
 
-def test_a_core_on_which_strangers_are_paced_is_still_full(load_shedder: LoadShedder) -> None:
-    spans(load_shedder, 1, load.TIGHT_LATE_US)
+def test_the_core_counts_as_full_while_new_clients_are_paced(load_shedder: LoadShedder) -> None:
+    run_spans(load_shedder, 1, load.TIGHT_LATE_US)
     for _ in range(3 * load.EASY_SPANS):
         load_shedder.wasted(5 * SECOND_US)
         assert load_shedder.pace_us(load_shedder._test_now)  # type: ignore[attr-defined]
-        spans(load_shedder, 1, 0)
+        run_spans(load_shedder, 1, 0)
     levels = [load_shedder.level]
-    spans(load_shedder, load.EASY_SPANS, 0)
+    run_spans(load_shedder, load.EASY_SPANS, 0)
     assert [*levels, load_shedder.level] == [Level.TIGHT, Level.CALM]
 
 
-class Keeper:
-    """What turns are told, and what they ask."""
+class RecordingDelayMonitor:
+    """A delay monitor that records delays and returns a given pace."""
 
     def __init__(self) -> None:
-        self.pace, self.lates = 0, list[int]()
+        self.pace, self.delays = 0, list[int]()
 
     def record_delay(self, now_us: int, late_us: int) -> None:
-        self.lates.append(late_us)
+        self.delays.append(late_us)
 
     def pace_us(self, now_us: int) -> int:
         return self.pace
 
 
-def watched(turns: FairSelector, rank: ConnectionPriority, count: int, used_us: float = 0.0) -> list[int]:
-    """Connections that stand ready, by their descriptors."""
+def register_ready(
+    fair_selector: FairSelector, priority: ConnectionPriority, count: int, used_us: float = 0.0
+) -> list[int]:
+    """Register ready connections, and return their descriptors."""
     pairs = [socket.socketpair() for _ in range(count)]
     for mine, other in pairs:
         other.send(b"x")
-        turns.register(mine, selectors.EVENT_READ, (mine, other))
-        if rank is not ConnectionPriority.INTERNAL:
-            turns.set_priority(mine.fileno(), rank, used_us)
+        fair_selector.register(mine, selectors.EVENT_READ, (mine, other))
+        if priority is not ConnectionPriority.INTERNAL:
+            fair_selector.set_priority(mine.fileno(), priority, used_us)
     return [mine.fileno() for mine, _ in pairs]
 
 
 @pytest.fixture
-def turns() -> Iterator[FairSelector]:
+def fair_selector() -> Iterator[FairSelector]:
     made = FairSelector()
-    made.delay_monitor = Keeper()
+    made.delay_monitor = RecordingDelayMonitor()
     yield made
     for key in list(made.get_map().values()):
         made.unregister(key.fileobj)
@@ -196,119 +204,145 @@
     made.close()
 
 
-def served(turns: FairSelector) -> list[int]:
-    return [key.fd for key, _ in turns.select(0)]
+def select_descriptors(fair_selector: FairSelector) -> list[int]:
+    return [key.fd for key, _ in fair_selector.select(0)]
 
 
-def test_a_turn_serves_all_that_is_ours_first_and_a_bounded_number_of_clients(turns: FairSelector) -> None:
-    clients, strangers = (
-        watched(turns, ConnectionPriority.CLIENT, 40),
-        watched(turns, ConnectionPriority.NEW_CLIENT, 30),
+def test_an_iteration_serves_internal_connections_first_and_a_bounded_number_of_clients(
+    fair_selector: FairSelector,
+) -> None:
+    clients, new_clients = (
+        register_ready(fair_selector, ConnectionPriority.CLIENT, 40),
+        register_ready(fair_selector, ConnectionPriority.NEW_CLIENT, 30),
     )
-    ours = watched(turns, ConnectionPriority.INTERNAL, 50)
-    now = served(turns)
-    assert set(now[:50]) == set(ours) and len(now) == 50 + 2 * MAX_CLIENTS_PER_ITERATION
+    internal = register_ready(fair_selector, ConnectionPriority.INTERNAL, 50)
+    now = select_descriptors(fair_selector)
+    assert set(now[:50]) == set(internal) and len(now) == 50 + 2 * MAX_CLIENTS_PER_ITERATION
     assert set(now[50 : 50 + MAX_CLIENTS_PER_ITERATION]) <= set(clients) and set(
         now[50 + MAX_CLIENTS_PER_ITERATION :]
-    ) <= set(strangers)
+    ) <= set(new_clients)
 
 
-def test_each_client_that_is_ready_has_its_turn(turns: FairSelector) -> None:
-    """Nobody reads, so that all stay ready: those that have waited longest go first."""
-    clients = watched(turns, ConnectionPriority.CLIENT, 5 * MAX_CLIENTS_PER_ITERATION)
+def test_every_ready_client_is_served_in_turn(fair_selector: FairSelector) -> None:
+    """No input is read, so all connections stay ready: those that have waited longest are served first."""
+    clients = register_ready(fair_selector, ConnectionPriority.CLIENT, 5 * MAX_CLIENTS_PER_ITERATION)
     for _ in range(3):
-        assert {fd for _ in range(5) for fd in served(turns)} == set(clients)
-    keeper = turns.delay_monitor
-    assert isinstance(keeper, Keeper) and max(keeper.lates) > 0  # the wait is told
+        assert {fd for _ in range(5) for fd in select_descriptors(fair_selector)} == set(clients)
+    delay_monitor = fair_selector.delay_monitor
+    assert (
+        isinstance(delay_monitor, RecordingDelayMonitor) and max(delay_monitor.delays) > 0
+    )  # the wait is reported
+
+
+def test_new_clients_over_their_share_are_limited_and_their_wait_is_no_delay(
+    fair_selector: FairSelector,
+) -> None:
+    slow_senders = register_ready(
+        fair_selector, ConnectionPriority.NEW_CLIENT, 30, used_us=5 * MILLISECOND_US
+    )
+    new = register_ready(fair_selector, ConnectionPriority.NEW_CLIENT, MAX_NEW_CLIENTS_OVER_SHARE)
+    assert isinstance(fair_selector.delay_monitor, RecordingDelayMonitor)
+    fair_selector.delay_monitor.pace = 1
+    assert all(set(select_descriptors(fair_selector)) == set(new) for _ in range(5))
+    assert not fair_selector.delay_monitor.delays and set(slow_senders).isdisjoint(
+        select_descriptors(fair_selector)
+    )
+    fair_selector.delay_monitor.pace = 0
+    assert set(new) <= set(select_descriptors(fair_selector)) and not fair_selector.delay_monitor.delays
+    for descriptor in slow_senders:
+        fair_selector.set_priority(descriptor, ConnectionPriority.NEW_CLIENT)  # as if they had used no time
+    assert [select_descriptors(fair_selector) for _ in range(2)] and fair_selector.delay_monitor.delays
 
 
-def test_strangers_beyond_their_share_get_few_turns_and_their_wait_is_no_lateness(
-    turns: FairSelector,
+def test_the_wait_of_new_clients_that_have_used_time_is_no_delay_of_the_core(
+    fair_selector: FairSelector,
 ) -> None:
-    drips = watched(turns, ConnectionPriority.NEW_CLIENT, 30, used_us=5 * MS)
-    new = watched(turns, ConnectionPriority.NEW_CLIENT, MAX_NEW_CLIENTS_OVER_SHARE)
-    assert isinstance(turns.delay_monitor, Keeper)
-    turns.delay_monitor.pace = 1
-    assert all(set(served(turns)) == set(new) for _ in range(5))
-    assert not turns.delay_monitor.lates and set(drips).isdisjoint(served(turns))
-    turns.delay_monitor.pace = 0
-    assert set(new) <= set(served(turns)) and not turns.delay_monitor.lates
-    for descriptor in drips:
-        turns.set_priority(descriptor, ConnectionPriority.NEW_CLIENT)  # as if all were new
-    assert [served(turns) for _ in range(2)] and turns.delay_monitor.lates
-
-
-def test_strangers_that_have_had_their_turns_make_the_core_no_fuller(turns: FairSelector) -> None:
-    """200 that sent single bytes had nearly all messages of usual clients refused early."""
-    watched(turns, ConnectionPriority.NEW_CLIENT, 5 * MAX_CLIENTS_PER_ITERATION, used_us=5 * MS)
+    """200 clients that sent single bytes had nearly all messages of other clients refused early."""
+    register_ready(
+        fair_selector,
+        ConnectionPriority.NEW_CLIENT,
+        5 * MAX_CLIENTS_PER_ITERATION,
+        used_us=5 * MILLISECOND_US,
+    )
     for _ in range(10):
-        assert len(served(turns)) == MAX_CLIENTS_PER_ITERATION
-    assert isinstance(turns.delay_monitor, Keeper) and not turns.delay_monitor.lates
+        assert len(select_descriptors(fair_selector)) == MAX_CLIENTS_PER_ITERATION
+    assert (
+        isinstance(fair_selector.delay_monitor, RecordingDelayMonitor)
+        and not fair_selector.delay_monitor.delays
+    )
 
 
-def test_a_rank_ends_with_its_connection(turns: FairSelector) -> None:
-    (descriptor,) = watched(turns, ConnectionPriority.NEW_CLIENT, 1)
-    key = turns.unregister(descriptor)
-    turns.register(key.fileobj, selectors.EVENT_READ, key.data)  # as something else under the same number
-    watched(turns, ConnectionPriority.CLIENT, 2 * MAX_CLIENTS_PER_ITERATION)
-    assert served(turns)[0] == descriptor
+def test_a_reused_descriptor_does_not_inherit_the_priority(fair_selector: FairSelector) -> None:
+    (descriptor,) = register_ready(fair_selector, ConnectionPriority.NEW_CLIENT, 1)
+    key = fair_selector.unregister(descriptor)
+    fair_selector.register(
+        key.fileobj, selectors.EVENT_READ, key.data
+    )  # another connection that reuses the descriptor
+    register_ready(fair_selector, ConnectionPriority.CLIENT, 2 * MAX_CLIENTS_PER_ITERATION)
+    assert select_descriptors(fair_selector)[0] == descriptor
 
 
 @on_loop
-async def test_a_full_core_parts_with_a_request_that_comes_in_by_single_bytes(
+async def test_a_full_core_rejects_a_request_that_arrives_in_single_bytes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(load, "STRANGER_MOST_US", 3 * MS)
-    monkeypatch.setattr(load, "PIECES_US", SECOND_US)  # else it comes in larger pieces
+    monkeypatch.setattr(load, "STRANGER_MOST_US", 3 * MILLISECOND_US)
+    monkeypatch.setattr(load, "PIECES_US", SECOND_US)  # no collecting of small pieces
     async with Rig(tmp_path, silent) as rig:
         began, client = asyncio.get_running_loop().time(), await rig.client()
         rig.sender.exchange.load_shedder.level = Level.TIGHT
-        with contextlib.suppress(OSError):  # it is closed while we write
+        with contextlib.suppress(OSError):  # the connection is closed during a write
             for byte in b"*5\r\n$6\r\nSUBMIT\r\n$9000\r\n" + b"x" * 8000:
                 if client.stream.ended:
                     break
                 client.stream.send_now(bytes([byte]))
                 await asyncio.sleep(0.0002)
-        assert asyncio.get_running_loop().time() - began < 1.9  # it would be closed after 2 s in any case
+        assert (
+            asyncio.get_running_loop().time() - began < 1.9
+        )  # the time limit for requests would close it after 2 s
         assert "reading its request takes too much time" in caplog.text
         usual = await rig.client()
         assert await usual.submit("m1") == b"+OK\r\n"
 
 
-def burn(seconds: float) -> None:
+def use_cpu(seconds: float) -> None:
     until = time.thread_time() + seconds
     while time.thread_time() < until:
         pass
 
 
-@pytest.mark.parametrize(("step", "said"), [(time.sleep, b"+PONG\r\n"), (burn, b"-ERR Protocol error")])
+@pytest.mark.parametrize(("step", "said"), [(time.sleep, b"+PONG\r\n"), (use_cpu, b"-ERR Protocol error")])
 @on_loop
-async def test_a_client_bears_processor_time_and_not_what_the_process_lost(
+async def test_a_client_is_charged_for_cpu_time_and_not_for_elapsed_time(
     tmp_path: Path, step: Callable[[float], None], said: bytes
 ) -> None:
-    """On a full machine good requests were refused: a process not run for 20 ms blamed who stood there."""
+    """On a busy machine good requests were refused: clients were charged for 20 ms in which the process did
+    not run.
+    """
     async with Rig(tmp_path, silent) as rig:
         front = rig.sender.fronts[0][0]
         front.load_shedder.level, talk = Level.TIGHT, front.talk
 
-        async def talks(stream: Stream) -> None:
+        async def talk_after_step(stream: Stream) -> None:
             step(3 * load.STRANGER_MOST_US / 1e6)
             await talk(stream)
 
-        front.talk = talks  # type: ignore[method-assign]
+        front.talk = talk_after_step  # type: ignore[method-assign]
         client = await rig.client()
         assert (await client.command("PING")).startswith(said)
 
 
 @on_loop
-async def test_time_that_the_process_lost_is_not_a_request_s_own(tmp_path: Path) -> None:
+async def test_time_in_which_the_process_did_not_run_is_not_part_of_a_request_time_limit(
+    tmp_path: Path,
+) -> None:
     async with Rig(tmp_path, silent) as rig:
         front, looks, lost_us = rig.sender.fronts[0][0], asyncio.Queue[None](), 0
-        plain = front._now
+        original = front._now
 
         def now() -> int:
             looks.put_nowait(None)
-            return plain() + lost_us
+            return original() + lost_us
 
         client = await rig.client()
         await client.stream.send(resp("PING")[:-1])
@@ -321,7 +355,7 @@
 
 
 @on_loop
-async def test_a_full_core_reads_single_bytes_together_and_ends_them_in_time(
+async def test_a_full_core_collects_single_bytes_and_times_the_request_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(load, "PIECES_US", 300)
@@ -338,15 +372,15 @@
                 client.stream.send_now(bytes([byte]))
                 sent += 1
                 await asyncio.sleep(0.001)
-        assert len(steps) < sent / 4  # a step for each byte without this
-        assert loop.time() - began < 2.8  # its end is owed within 3 s, unread or not
+        assert len(steps) < sent / 4  # one step for each byte otherwise
+        assert loop.time() - began < 2.8  # bad input must be answered within 3 s, read or not
         whole = await rig.client()
         assert await whole.submit("m1") == b"+OK\r\n"
 
 
 @on_loop
-async def test_a_debt_is_left_by_those_who_neither_ask_nor_are_answered(tmp_path: Path) -> None:
-    """Whoever had just come made one, too, and kept usual clients out beside bad ones."""
+async def test_only_connections_without_request_and_answer_leave_a_debt(tmp_path: Path) -> None:
+    """Connections that had just been opened caused a debt, too, and good clients were kept out."""
     async with Rig(tmp_path, silent) as rig:
         front, wasted = rig.sender.fronts[0][0], list[float]()
         front.load_shedder.wasted = wasted.append  # type: ignore[assignment, method-assign]
@@ -362,14 +396,14 @@
 
 
 @on_loop
-async def test_clients_that_leave_at_once_cost_no_connection(tmp_path: Path) -> None:
+async def test_clients_that_leave_at_once_are_not_served(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         front, accepted = rig.sender.fronts[0][0], list[object]()
-        plain = front._start_serving
+        original = front._start_serving
 
         def accept(stream: Stream) -> None:
             accepted.append(stream)
-            plain(stream)
+            original(stream)
 
         front._start_serving = accept  # type: ignore[method-assign]
         for _ in range(40):
@@ -380,55 +414,55 @@
 
 
 @on_loop
-async def test_clients_that_leave_as_fast_as_they_come_leave_the_loop_its_turns(tmp_path: Path) -> None:
-    """Accepting never waited for anything then, and kept the loop for as long as they came."""
+async def test_clients_that_leave_as_fast_as_they_connect_do_not_block_the_event_loop(tmp_path: Path) -> None:
+    """The accept loop never yielded, and blocked the event loop for as long as such clients came."""
     async with Rig(tmp_path, silent) as rig:
-        front, turns = rig.sender.fronts[0][0], 0
+        front, iterations = rig.sender.fronts[0][0], 0
         for _ in range(300):
             socket.create_connection(("127.0.0.1", front.port)).close()
         last = socket.create_connection(("127.0.0.1", front.port))
         while not front.streams:
-            turns += 1
+            iterations += 1
             await asyncio.sleep(0)
         last.close()
-        assert turns >= 300 // ACCEPT_BATCH_COUNT
+        assert iterations >= 300 // ACCEPT_BATCH_COUNT
         assert front.load_shedder._debt_us > 0
 
 
 @on_loop
-async def test_new_connections_come_in_many_a_turn_of_the_loop(tmp_path: Path) -> None:
-    """One a turn kept hundreds of clients waiting for seconds when turns were long."""
+async def test_several_new_connections_are_accepted_in_each_iteration(tmp_path: Path) -> None:
+    """With one accept in each iteration, hundreds of clients waited for seconds when iterations were long."""
     async with Rig(tmp_path, silent) as rig:
-        loop, front, turns = asyncio.get_running_loop(), rig.sender.fronts[0][0], 0
+        loop, front, iterations = asyncio.get_running_loop(), rig.sender.fronts[0][0], 0
         opened = [socket.create_connection(("127.0.0.1", front.port)) for _ in range(10)]
         while len(front.streams) < len(opened):
-            turns += 1
+            iterations += 1
             await asyncio.sleep(0)
-        assert turns < 10 and loop.time()
+        assert iterations < 10 and loop.time()
         for sock in opened:
             sock.close()
 
 
-def test_time_of_one_that_makes_a_good_request_is_given_back(load_shedder: LoadShedder) -> None:
-    load_shedder.spent(400 * MS)
-    load_shedder.spent(-400 * MS)
-    spans(load_shedder, 1, load.TIGHT_LATE_US)
+def test_the_time_of_a_client_that_makes_a_good_request_is_credited_back(load_shedder: LoadShedder) -> None:
+    load_shedder.spent(400 * MILLISECOND_US)
+    load_shedder.spent(-400 * MILLISECOND_US)
+    run_spans(load_shedder, 1, load.TIGHT_LATE_US)
     assert load_shedder.share == 0.0
 
 
 @on_loop
-async def test_the_steps_of_a_coroutine_are_metered_and_nothing_else() -> None:
-    told = list[float]()
+async def test_only_the_cpu_time_of_a_coroutine_is_metered() -> None:
+    reported = list[float]()
 
     async def inner(fails: bool) -> None:
         await asyncio.sleep(0.02)
         if fails:
             raise OSError("gone")
 
-    await CpuMeteredCoroutine(inner(False), told.append)
-    assert len(told) == 2 and sum(told) < 15_000  # the wait is not among it
+    await CpuMeteredCoroutine(inner(False), reported.append)
+    assert len(reported) == 2 and sum(reported) < 15_000  # the time of the wait does not count
     with pytest.raises(OSError, match="gone"):
-        await CpuMeteredCoroutine(inner(True), told.append)
+        await CpuMeteredCoroutine(inner(True), reported.append)
     cancelled = list[bool]()
 
     async def cleans_up() -> None:
@@ -440,7 +474,7 @@
             raise
 
     async def outer() -> None:
-        await CpuMeteredCoroutine(cleans_up(), told.append)
+        await CpuMeteredCoroutine(cleans_up(), reported.append)
 
     task = asyncio.create_task(outer())
     await asyncio.sleep(0)
@@ -450,16 +484,16 @@
 
 
 @pytest.mark.parametrize("entry", ["run_overdue_round", "submit", "too_busy"])
-def test_a_message_has_its_end_though_every_round_is_late(tmp_path: Path, entry: str) -> None:
-    """A core that was full came to its rounds late, and a message owed got no end in its time."""
-    desk, told = Desk(tmp_path), dict[str, int]()
-    desk.exchange.listeners["platform"] = lambda m, end: told.update({m.id: desk.now - m.deadline_us})
-    desk.submit("order")  # out, with no answer
+def test_a_message_ends_in_time_though_every_round_is_late(tmp_path: Path, entry: str) -> None:
+    """On a full core rounds were late, and a message got no end in time."""
+    desk, reported = Desk(tmp_path), dict[str, int]()
+    desk.exchange.listeners["platform"] = lambda m, end: reported.update({m.id: desk.now - m.deadline_us})
+    desk.submit("order")  # an attempt in progress, without a response
     for n in range(6):
         message = Message(f"m{n}", "album-update", "a", 7, desk.now + (n + 1) * SECOND_US, b"x", "platform")
         assert desk.exchange.submit(message) is None
-    for n in range(800):  # the loop never comes to the rounds; somebody else always wants something
-        desk.now += 10 * MS
+    for n in range(800):  # the loop never runs a round, as other calls always come first
+        desk.now += 10 * MILLISECOND_US
         match entry:
             case "run_overdue_round":
                 desk.exchange.run_overdue_round()
@@ -467,30 +501,30 @@
                 desk.exchange.too_busy("another")
             case _:
                 desk.exchange.submit(Message(f"n{n}", "album-update", "a", 99, desk.now, b"x", "platform"))
-    assert set(told) == {"order", *(f"m{n}" for n in range(6))}
-    assert max(told.values()) <= 150 * MS  # it may be 300 ms late
+    assert set(reported) == {"order", *(f"m{n}" for n in range(6))}
+    assert max(reported.values()) <= 150 * MILLISECOND_US  # it may be 300 ms late
 
 
-def test_what_a_round_ends_is_told_in_the_round(tmp_path: Path) -> None:
-    desk, told = Desk(tmp_path), list[str]()
-    desk.exchange.listeners["platform"] = lambda m, end: told.append(m.id)
-    desk.exchange.round_over = lambda: told.append("over")
+def test_the_end_of_a_message_is_reported_in_its_round(tmp_path: Path) -> None:
+    desk, reported = Desk(tmp_path), list[str]()
+    desk.exchange.listeners["platform"] = lambda m, end: reported.append(m.id)
+    desk.exchange.round_over = lambda: reported.append("over")
     desk.submit("order")
-    told.clear()
+    reported.clear()
     desk.now += 4 * SECOND_US
     desk.exchange.pump()
-    assert told == ["order", "over"]
+    assert reported == ["order", "over"]
 
 
 @on_loop
-async def test_a_notice_comes_in_time_though_every_round_is_late(
+async def test_a_notice_is_sent_in_time_though_every_round_is_late(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The loop never wakes the core; bad clients do, whoever they are."""
+    """The event loop never wakes the core here; only connections of bad clients do."""
     async with Rig(tmp_path, silent) as rig:
         loop, client = asyncio.get_running_loop(), await rig.client()
         assert await client.submit("m1", "print-order", d=500) == b"+OK\r\n"
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         due = loop.time() + 0.5
         monkeypatch.setattr(LoopClock, "wake_at", lambda *_: None)
         rig.sender.clock.stop()
@@ -501,13 +535,13 @@
                 await asyncio.sleep(0.01)
 
         noise = asyncio.create_task(bad())
-        notice = await rig.platform.notice("m1")
+        notice = await rig.platform.wait_for_notice("m1")
         noise.cancel()
         assert notice["outcome"] == "given_up" and loop.time() < due + 0.3
 
 
 @on_loop
-async def test_a_notice_is_in_the_kernel_when_the_round_is_over(tmp_path: Path) -> None:
+async def test_a_notice_has_been_written_when_the_round_ends(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         notices = rig.sender.notices
         assert notices is not None
@@ -518,20 +552,22 @@
         line = notices._lines[0]
         assert "m1" in line.batch and line.caller is not None
         assert line.caller.stream._writer.transport.get_write_buffer_size() == 0
-        await rig.platform.notice("m1")
+        await rig.platform.wait_for_notice("m1")
         while notices.pending:
             await asyncio.sleep(0)
         assert not line.batch  # confirmed
 
 
 @on_loop
-async def test_a_full_core_refuses_new_messages_before_their_cost_and_denies_none(tmp_path: Path) -> None:
+async def test_a_full_core_refuses_new_messages_early_and_still_confirms_accepted_ones(
+    tmp_path: Path,
+) -> None:
     async with Rig(tmp_path, silent) as rig:
         client = await rig.client()
         assert await client.submit("m1") == b"+OK\r\n"
         rig.sender.exchange.load_shedder.refused_share = 1.0
         assert await client.submit("m2") == b"-BUSY 1000\r\n"
-        assert await client.submit("m1") == b"+OK\r\n"  # it is owed
+        assert await client.submit("m1") == b"+OK\r\n"  # it was accepted before
         assert list(rig.sender.journal.owed) == ["m1"]
         refused = await rig.export(b"no protobuf at all")
         assert (refused.status, refused.headers["retry-after"]) == (503, "1")
@@ -541,7 +577,7 @@
 
 
 @on_loop
-async def test_strangers_are_charged_until_their_first_good_request(tmp_path: Path) -> None:
+async def test_new_clients_are_charged_until_their_first_good_request(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         front, spent = rig.sender.fronts[0][0], list[float]()
         front.load_shedder.spent = spent.append  # type: ignore[assignment, method-assign]
--- a/tests/test_mgmt.py
+++ b/tests/test_mgmt.py
@@ -113,7 +113,7 @@
         assert not exchange.detach("nobody")
         assert exchange.detach("i0") and exchange.detach("i0")
         assert exchange.table.get("i0").status is EndpointStatus.DRAINING  # type: ignore[union-attr]
-        exchange.list_instances(UpdateScope.FULL, rig.known)
+        exchange.list_instances(UpdateScope.FULL, rig.known_endpoints)
         assert not exchange.table.listed("i0") and exchange.ejected == 1
         assert exchange.attach("i0")  # two detaches, one attach
         assert exchange.table.listed("i0") and exchange.ejected == 0
@@ -243,7 +243,7 @@
 async def test_a_second_process_serves_beside_the_first_and_takes_over(tmp_path: Path) -> None:
     """Before SO_REUSEPORT and the journal's slots the second start ended at once: the port was in use."""
     async with Rig(tmp_path, answers(OK)) as rig, Process(rig, tmp_path) as old:
-        new = await old.another()
+        new = await old.start_another()
         try:
             assert new.stderr is not None
             while line := await new.stderr.readline():
@@ -264,7 +264,7 @@
     async with Rig(tmp_path, silent) as rig, Process(rig, tmp_path) as old:
         client = await old.client()
         assert await client.submit("m1", d=5000) == b"+OK\r\n"
-        new = await old.another()
+        new = await old.start_another()
         try:
             assert new.stderr is not None
             lines: list[str] = []
--- a/tests/test_otlp.py
+++ b/tests/test_otlp.py
@@ -75,7 +75,7 @@
         reply = await rig.export(gzip.compress(body) if packed else body, path, **headers)
         assert (reply.status, reply.headers["content-type"]) == (200, kind)
         assert reply.body == (b"{}" if kind == JSON else b"")
-        (call,) = await rig.servers[0].asked(1)
+        (call,) = await rig.servers[0].wait_for_requests(1)
         assert (call.target, call.body, call.headers["content-type"]) == (path, body, kind)
 
 
@@ -150,13 +150,13 @@
 @on_loop
 async def test_a_refusal_says_when_to_come_again_and_a_failure_does_not(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent, most_held=1) as rig:
-        rig.once_listed(99)
+        rig.add_removed_destinations(99)
         refused = await rig.export(logs(dest="99"), x_left_ms="200")
         assert refused.status == 503 and int(refused.headers["retry-after"]) >= 1
         assert await rig.export(logs(dest="99"), x_left_ms="200") == refused
         assert rig.sender.exchange.counts[Ending.REFUSED] == 1
         failed = asyncio.create_task(rig.export(logs("a"), x_left_ms="400"))
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         turned_away = await rig.export(logs("b"))
         assert turned_away.status == 503 and int(turned_away.headers["retry-after"]) >= 1
         reply = await failed
@@ -178,7 +178,7 @@
         first = asyncio.create_task(
             HttpCaller(stream, "otlp", 1 << 16, after).call(Call("POST", "/v1/logs", headers, logs()))
         )
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         first.cancel()
         stream.abort()
         again = asyncio.create_task(rig.export(logs(), x_id="e1"))
@@ -203,7 +203,7 @@
 async def test_a_call_cut_off_by_a_restart_has_one_end(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         asking = asyncio.create_task(rig.export(logs()))
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         rig.sender.close()
         asking.cancel()
         await rig.start()
@@ -229,15 +229,15 @@
     cases = [(cls, True) for cls in ("print-order", "album-update") * 2]
     cases += [("print-order", True), ("album-update", False)]
     async with Rig(tmp_path, answers(*script), answers(*script)) as rig:
-        near, far = rig.known
+        near, far = rig.known_endpoints
         rig.sender.exchange.list_instances(UpdateScope.FULL, [near, replace(far, dest=8)])
-        rig.once_listed(98, 99)
+        rig.add_removed_destinations(98, 99)
 
         async def by_resp() -> None:
             client = await rig.client()
             for n, (cls, reached) in enumerate(cases):
                 await client.submit(f"resp{n}", cls, 3000 if reached else 300, 7 if reached else 98)
-                await rig.ended(f"resp{n}")
+                await rig.wait_for_end(f"resp{n}")
 
         async def by_otlp() -> None:
             for n, (cls, reached) in enumerate(cases):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -21,7 +21,7 @@
 from rowanrack.store.journal import Journal, JournalError
 from rowanspindle import UpdateScope
 from rowanspindle.wire import parse_settings
-from tests.rig import SETTINGS, entry
+from tests.rig import SETTINGS, discovery_entry
 
 
 def ring(data: bytes) -> RingBuffer:
@@ -141,7 +141,7 @@
 
 
 def test_lists_are_read() -> None:
-    doc = {"seq": 4, "whole": False, "hosts": [entry("h", 81, health="DELETED")]}
+    doc = {"seq": 4, "whole": False, "hosts": [discovery_entry("h", 81, health="DELETED")]}
     seq, scope, (listed,) = parse_list(doc)
     assert (seq, scope, listed.name, listed.port, listed.dest) == (4, UpdateScope.DELTA, "h", 81, 7)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from rowanrack.net.http import Call, CallBrokenError, CallNotSentError, HttpCaller, Reply, Request
 from rowanrack.net.stream import Stream
 from rowanspindle import Result, UpdateScope
-from tests.rig import Process, Rig, after, answers, entry, instance, on_loop, resp, silent
+from tests.rig import Process, Rig, after, answers, discovery_entry, make_endpoint, on_loop, resp, silent
 
 OK = Reply(200, {})
 
@@ -24,7 +24,7 @@
         client, body = await rig.client(), bytes(range(256)) * 200
         assert await client.command("PING") == b"+PONG\r\n"
         assert await client.submit("m1", body=body, d=2000) == b"+OK\r\n"
-        (call,) = await rig.servers[0].asked(1)
+        (call,) = await rig.servers[0].wait_for_requests(1)
         assert (call.method, call.target, call.body) == ("POST", "/inbox", body)
         assert call.headers["x-txn"] == "m1"
         assert 0 < int(call.headers["x-remaining"].removesuffix("m")) <= 2000
@@ -37,7 +37,7 @@
         client = await rig.client()
         for n in range(1, 5):
             await client.submit(f"m{n}")
-            await rig.ended(f"m{n}")
+            await rig.wait_for_end(f"m{n}")
         assert rig.servers[0].connections == 1
 
 
@@ -46,12 +46,12 @@
     async with Rig(tmp_path, *(answers(OK) for _ in range(4))) as rig:
         rig.sender.pool._max_idle = 2
         rig.sender.exchange.list_instances(
-            UpdateScope.FULL, [replace(i, dest=n) for n, i in enumerate(rig.known)]
+            UpdateScope.FULL, [replace(i, dest=n) for n, i in enumerate(rig.known_endpoints)]
         )
         client = await rig.client()
         for n in range(4):
             await client.submit(f"m{n}", dest=n)
-            await rig.ended(f"m{n}")
+            await rig.wait_for_end(f"m{n}")
         assert [bool(rig.sender.pool.idle[f"i{n}"]) for n in range(4)] == [False, False, True, True]
 
 
@@ -83,12 +83,13 @@
         client = await rig.client()
         await client.submit("m1")
         await asyncio.wait(
-            [asyncio.ensure_future(s.asked(1)) for s in rig.servers], return_when="FIRST_COMPLETED"
+            [asyncio.ensure_future(s.wait_for_requests(1)) for s in rig.servers],
+            return_when="FIRST_COMPLETED",
         )
         told_at = asyncio.get_running_loop().time()
-        await rig.until(lambda: Result.FULL in rig.results)
+        await rig.wait_until(lambda: Result.FULL in rig.results)
         await client.submit("m2")
-        assert {(await rig.ended(m)).ending for m in ("m1", "m2")} == {Ending.DELIVERED}
+        assert {(await rig.wait_for_end(m)).ending for m in ("m1", "m2")} == {Ending.DELIVERED}
         times = sorted(t for s in rig.servers for t in s.times)
         assert len(times) == 3 and times[1] - told_at >= 0.4
 
@@ -101,8 +102,8 @@
     async with Rig(tmp_path, answers(None, OK)) as rig:
         await (await rig.client()).submit("m1", cls)
         if noticed:
-            assert (await rig.platform.notice("m1"))["outcome"] == "given_up"
-        assert len(await rig.servers[0].asked(calls)) == calls
+            assert (await rig.platform.wait_for_notice("m1"))["outcome"] == "given_up"
+        assert len(await rig.servers[0].wait_for_requests(calls)) == calls
 
 
 @pytest.mark.parametrize(("reads", "error"), [(False, CallNotSentError), (True, CallBrokenError)])
@@ -143,9 +144,9 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with server, Rig(tmp_path) as rig:
         port = server.sockets[0].getsockname()[1]
-        rig.sender.exchange.list_instances(UpdateScope.FULL, [instance("i0", port)])
+        rig.sender.exchange.list_instances(UpdateScope.FULL, [make_endpoint("i0", port)])
         await (await rig.client()).submit("m1", "print-order", d=2000)
-        assert (await rig.ended("m1")).ending is Ending.DELIVERED
+        assert (await rig.wait_for_end("m1")).ending is Ending.DELIVERED
 
 
 @on_loop
@@ -154,10 +155,10 @@
         port = rig.servers[0].port
         await rig.servers[0].__aexit__()
         await (await rig.client()).submit("m1", "print-order")
-        await rig.until(lambda: Result.CONNECT_FAILED in rig.results)
+        await rig.wait_until(lambda: Result.CONNECT_FAILED in rig.results)
         rig.servers[0].port = port
         await rig.servers[0].__aenter__()
-        (call,) = await rig.servers[0].asked(1)
+        (call,) = await rig.servers[0].wait_for_requests(1)
         assert call.headers["x-txn"] == "m1" and not rig.platform.notices
 
 
@@ -166,15 +167,15 @@
     async with Rig(tmp_path, silent) as rig:
         await (await rig.client()).submit("m1", "print-order", d=300)
         await rig.servers[0].closed.wait()
-        assert (await rig.platform.notice("m1"))["outcome"] == "given_up"
+        assert (await rig.platform.wait_for_notice("m1"))["outcome"] == "given_up"
 
 
 @on_loop
 async def test_notices_come_again_until_they_are_confirmed(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(None)) as rig:
-        rig.platform.notice_status = [503, 400, 204]
+        rig.platform.notice_statuses = [503, 400, 204]
         await (await rig.client()).submit("m1", "print-order")
-        assert await rig.platform.notice("m1") == {"message": "m1", "outcome": "given_up"}
+        assert await rig.platform.wait_for_notice("m1") == {"message": "m1", "outcome": "given_up"}
 
 
 @pytest.mark.parametrize("silent_lines", [1, 2])
@@ -194,7 +195,7 @@
 
         rig.platform.behave = behave
         await (await rig.client()).submit("m1", "print-order")
-        await rig.platform.notice("m1")
+        await rig.platform.wait_for_notice("m1")
         assert len(silenced) == silent_lines and not rig.platform.closed.is_set()
         notices = rig.sender.notices
         assert notices is not None
@@ -216,25 +217,25 @@
 @on_loop
 async def test_a_message_that_finds_no_instance_is_handed_back(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
-        rig.once_listed(99)
+        rig.add_removed_destinations(99)
         await (await rig.client()).submit("m1", d=200, dest=99)
-        notice = await rig.platform.notice("m1")
+        notice = await rig.platform.wait_for_notice("m1")
         assert notice["outcome"] == "handed_back" and notice["retry_in_ms"] >= 1000
 
 
 @on_loop
 async def test_the_next_watch_follows_at_once_and_drains_are_kept(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK), answers(OK)) as rig:
-        await rig.platform.asked(1)
+        await rig.platform.wait_for_requests(1)
         answered = asyncio.get_running_loop().time()
-        rig.platform.change(entry("i0", rig.servers[0].port, health="DRAINING"))
-        watches = await rig.platform.asked(2)
+        rig.platform.change(discovery_entry("i0", rig.servers[0].port, health="DRAINING"))
+        watches = await rig.platform.wait_for_requests(2)
         assert rig.platform.times[1] - answered < 0.2
         assert watches[1].target.startswith("/v1/servers?index=2&wait=")
         client = await rig.client()
         for n in range(4):
             await client.submit(f"m{n}")
-        await rig.servers[1].asked(4)
+        await rig.servers[1].wait_for_requests(4)
         assert not rig.servers[0].requests
 
 
@@ -248,9 +249,9 @@
 ) -> None:
     caplog.set_level("INFO")
     rig = Rig(tmp_path, answers(OK))
-    rig.platform.broken = list(broken)
+    rig.platform.broken_replies = list(broken)
     async with rig:
-        await rig.platform.asked(asked)
+        await rig.platform.wait_for_requests(asked)
         at_once = rig.platform.times[1] - rig.platform.times[0] < 0.2
         assert at_once is (broken[0] is None)
         assert ("list of endpoints lost" in caplog.text) is lost
@@ -263,12 +264,12 @@
         client = await rig.client()
         for cls in ("print-order", "album-update"):
             await client.submit(cls, cls)
-        await rig.servers[0].asked(2)
+        await rig.servers[0].wait_for_requests(2)
         rig.sender.close()
         rig.servers[0].behave = answers(OK)
         await rig.start()
-        assert (await rig.platform.notice("print-order"))["outcome"] == "given_up"
-        calls = await rig.servers[0].asked(3)
+        assert (await rig.platform.wait_for_notice("print-order"))["outcome"] == "given_up"
+        calls = await rig.servers[0].wait_for_requests(3)
         assert [c.headers["x-txn"] for c in calls[2:]] == ["album-update"]
 
 
@@ -277,23 +278,23 @@
     async with Rig(tmp_path, silent, try_limit=2) as rig:
         await (await rig.client()).submit("m1")
         for calls in (1, 2):
-            await rig.servers[0].asked(calls)
+            await rig.servers[0].wait_for_requests(calls)
             rig.sender.close()
             await rig.start()
-        assert await rig.platform.notice("m1")
+        assert await rig.platform.wait_for_notice("m1")
         assert len(rig.servers[0].requests) == 2
 
 
 @on_loop
 async def test_a_notice_that_was_not_confirmed_goes_out_after_a_restart(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(None)) as rig:
-        rig.platform.notice_status = [503]
+        rig.platform.notice_statuses = [503]
         await (await rig.client()).submit("m1", "print-order")
-        await rig.ended("m1")
+        await rig.wait_for_end("m1")
         rig.sender.close()
-        rig.platform.notice_status = [204]
+        rig.platform.notice_statuses = [204]
         await rig.start()
-        assert (await rig.platform.notice("m1"))["outcome"] == "given_up"
+        assert (await rig.platform.wait_for_notice("m1"))["outcome"] == "given_up"
 
 
 @on_loop
@@ -303,8 +304,8 @@
         ids = [f"{cls}{n}" for n in range(6) for cls in ("print-order", "album-update")]
         for n, message_id in enumerate(ids):
             assert await client.submit(message_id, message_id[:-1], d=20_000) == b"+OK\r\n"
-            await rig.servers[0].asked(min(n + 1, 2))
-        begun = {r.headers["x-txn"] for r in await rig.servers[0].asked(4)}
+            await rig.servers[0].wait_for_requests(min(n + 1, 2))
+        begun = {r.headers["x-txn"] for r in await rig.servers[0].wait_for_requests(4)}
         process.child.kill()
         await process.child.wait()
         begun |= {r.headers["x-txn"] for r in rig.servers[0].requests}
@@ -313,9 +314,11 @@
         await process.start()
         failed = {i for i in begun if i.startswith("print-order")}
         again = len(ids) - len(failed)
-        after = [r.headers["x-txn"] for r in (await rig.servers[0].asked(before + again))[before:]]
+        after = [
+            r.headers["x-txn"] for r in (await rig.servers[0].wait_for_requests(before + again))[before:]
+        ]
         assert sorted(after) == sorted(set(ids) - failed)
-        assert {(await process.platform.notice(i))["outcome"] for i in failed} == {"given_up"}
+        assert {(await process.platform.wait_for_notice(i))["outcome"] for i in failed} == {"given_up"}
         assert set(process.platform.notices) == failed
 
 
@@ -347,12 +350,12 @@
 
     async with Rig(tmp_path, held_up) as rig, Process(rig, tmp_path) as process:
         assert await (await process.client()).submit("m1") == b"+OK\r\n"
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         process.child.send_signal(signal.SIGTERM)
-        await process.logged("stopping")
+        await process.wait_for_log("stopping")
         assert await (await process.client()).submit("m2") == b"+OK\r\n"
         release.set()
-        await process.logged("stopped: 0 messages stay owed")
+        await process.wait_for_log("stopped: 0 messages stay owed")
         assert await process.child.wait() == 0
         assert {r.headers["x-txn"] for r in rig.servers[0].requests} == {"m1", "m2"}
 
@@ -361,8 +364,8 @@
 async def test_after_sigterm_it_leaves_in_time_whatever_is_out(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig, Process(rig, tmp_path) as process:
         await (await process.client()).submit("m1", "print-order", d=20_000)
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         process.child.send_signal(signal.SIGTERM)
         async with asyncio.timeout(3.7):
-            await process.logged("stopped: 1 messages stay owed")
+            await process.wait_for_log("stopped: 1 messages stay owed")
             assert await process.child.wait() == 0
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,17 @@
 from rowanrack.core.messages import Ending
 from rowanrack.fronts.otlp.mapping import Source
 from rowanrack.net.http import Reply, Request
-from tests.rig import MAPPING, Platform, Process, Rig, answers, entry, instance, on_loop, silent
+from tests.rig import (
+    MAPPING,
+    Platform,
+    Process,
+    Rig,
+    answers,
+    discovery_entry,
+    make_endpoint,
+    on_loop,
+    silent,
+)
 
 OK = Reply(200, {})
 
@@ -32,9 +42,9 @@
         }
         process.config.write_text(json.dumps(spoilt[bad]) if bad in spoilt else bad)
         process.child.send_signal(signal.SIGHUP)
-        await process.logged("the old configuration stays")
+        await process.wait_for_log("the old configuration stays")
         assert await (await process.client()).submit("m1") == b"+OK\r\n"
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
 
 
 @on_loop
@@ -49,48 +59,48 @@
         return OK
 
     async with Rig(tmp_path, held_up) as rig, Process(rig, tmp_path) as process:
-        process.platform.notice_status = [503]
+        process.platform.notice_statuses = [503]
         client = await process.client()
         assert await client.submit("m1", "print-order") == b"+OK\r\n"  # its notice stays pending
         assert await client.submit("m2", "print-order") == b"+OK\r\n"  # its call is out all the time
-        await rig.servers[0].asked(2)
+        await rig.servers[0].wait_for_requests(2)
         second, third = Platform(), Platform()
-        second.notice_status = [503]
+        second.notice_statuses = [503]
         async with second, third:
             for platform in (second, third):
                 process.configure(platform)
                 process.child.send_signal(signal.SIGHUP)
-                await process.logged("configuration is taken over")
-            assert (await third.notice("m1"))["outcome"] == "given_up"
+                await process.wait_for_log("configuration is taken over")
+            assert (await third.wait_for_notice("m1"))["outcome"] == "given_up"
             while not any(r.target.startswith("/v1/servers?index=1") for r in third.requests):
-                await third.asked(len(third.requests) + 1)
-            third.change(entry("i0", rig.servers[0].port))
+                await third.wait_for_requests(len(third.requests) + 1)
+            third.change(discovery_entry("i0", rig.servers[0].port))
             release.set()
             process.child.send_signal(signal.SIGTERM)
-            await process.logged("stopped: 0 messages stay owed")
+            await process.wait_for_log("stopped: 0 messages stay owed")
             await process.child.wait()
             await process.start()
-            await third.asked(len(third.requests) + 1)
+            await third.wait_for_requests(len(third.requests) + 1)
             assert set(third.notices) == {"m1"}
 
 
 @on_loop
 async def test_a_watch_waits_for_a_new_address_that_opens_late(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
-        await rig.platform.asked(1)
+        await rig.platform.wait_for_requests(1)
         late = Platform()
         async with late:
             port = late.port
         config = rig.sender.config
         assert config.platform is not None
         rig.sender.reload(replace(config, platform=replace(config.platform, discovery=("127.0.0.1", port))))
-        async with rig.platform.news:  # the old address has no caller any more
+        async with rig.platform.requests_changed:  # the old address has no caller any more
             assert len(rig.platform.requests) == 1
         while rig.sender.watch is not None and rig.sender.watch.failed < 3:
             await asyncio.sleep(0)
         late.port = port
         async with late:
-            await late.asked(1)
+            await late.wait_for_requests(1)
             assert not rig.sender.exchange.forwarder.list_watch.failures
 
 
@@ -102,13 +112,15 @@
         mapping = replace(MAPPING, destination=Source(default="8"))
         new = replace(
             config,
-            instances=(instance("file-1", rig.servers[0].port, 8),),
+            instances=(make_endpoint("file-1", rig.servers[0].port, 8),),
             otlp=replace(config.otlp, mapping=mapping),
         )
         sender.reload(new)
         assert (await rig.export(b"")).status == 200
-        (call,) = await rig.servers[0].asked(1)
-        assert call.target == "/v1/logs" and (await rig.ended(rig.ends[0][0])).ending is Ending.DELIVERED
+        (call,) = await rig.servers[0].wait_for_requests(1)
+        assert (
+            call.target == "/v1/logs" and (await rig.wait_for_end(rig.ends[0][0])).ending is Ending.DELIVERED
+        )
         sender.reload(replace(new, instances=()))
         assert sender.exchange.table.get("file-1") is None and sender.exchange.table.get("i0") is not None
 
@@ -119,7 +131,7 @@
         config = rig.sender.config
         assert config.platform is not None and config.otlp is not None
         moved = replace(config.platform, discovery=("127.0.0.1", 9), seq=5)
-        listed = (instance("x", 1),)
+        listed = (make_endpoint("x", 1),)
         assert needs_restart(config, replace(config, platform=moved, seed=2, instances=listed)) == []
         changed = replace(config, sockets=9, platform=None, otlp=replace(config.otlp, body_limit=1))
         assert needs_restart(config, changed) == ["sockets", "platform.listen", "otlp.body_limit"]
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -14,7 +14,7 @@
 from rowanrack.net.http import Reply
 from rowanspindle import Accept, Forwarder, UpdateScope
 from rowanspindle.wire import parse_settings
-from tests.rig import SETTINGS, Rig, answers, instance, on_loop, silent
+from tests.rig import SETTINGS, Rig, answers, make_endpoint, on_loop, silent
 from tests.test_otlp import logs
 
 OK = answers(Reply(200, {}))
@@ -40,19 +40,19 @@
 async def test_a_class_that_is_gone_takes_nothing_else_with_it(tmp_path: Path) -> None:
     """The module failed on the message, and with it went the list and all that was owed beside it."""
     async with Rig(tmp_path, silent) as rig:
-        rig.once_listed(99)
+        rig.add_removed_destinations(99)
         client = await rig.client()
         await client.submit("begun")
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         await client.submit("untried", dest=99)
         await client.submit("order", "print-order", dest=99)
         await client.submit("fee", "entry-fee", key="k")
-        await rig.servers[0].asked(2)
+        await rig.servers[0].wait_for_requests(2)
         rig.servers[0].behave = OK
         await restart(rig, regraded(effect=None))
-        assert (await rig.platform.notice("untried"))["outcome"] == "handed_back"
-        assert (await rig.platform.notice("begun"))["outcome"] == "given_up"
-        await rig.until(lambda: rig.sender.exchange.counts[Ending.DELIVERED] == 1)
+        assert (await rig.platform.wait_for_notice("untried"))["outcome"] == "handed_back"
+        assert (await rig.platform.wait_for_notice("begun"))["outcome"] == "given_up"
+        await rig.wait_until(lambda: rig.sender.exchange.counts[Ending.DELIVERED] == 1)
         assert list(rig.sender.exchange.messages) == ["order"]
 
 
@@ -61,22 +61,22 @@
     """Each attempt counted as a failed connection: six were used up, and the endpoint was put out."""
     async with Rig(tmp_path, silent) as rig:
         export = asyncio.ensure_future(rig.export(logs(), x_class="album-update", x_left_ms="3000"))
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         export.cancel()
-        rig.servers[0].behave, rig.changes = OK, {"otlp": None}
+        rig.servers[0].behave, rig.config_changes = OK, {"otlp": None}
         await restart(rig, SETTINGS)
-        assert (await rig.servers[0].asked(2))[1].target == "/v1/logs"
-        await rig.until(lambda: rig.sender.exchange.counts[Ending.DELIVERED] == 1)
+        assert (await rig.servers[0].wait_for_requests(2))[1].target == "/v1/logs"
+        await rig.wait_until(lambda: rig.sender.exchange.counts[Ending.DELIVERED] == 1)
         assert rig.sender.exchange.ejected == 0
 
 
 async def owed(rig: Rig, *ids: str, d: int = 1500) -> None:
     """Messages that are taken and cannot go: the only endpoint of their destination has gone."""
-    rig.once_listed(99)
+    rig.add_removed_destinations(99)
     client = await rig.client()
     for message_id in ids:
         assert await client.submit(message_id, d=d, dest=99) == b"+OK\r\n"
-    rig.known = (instance("back", rig.servers[0].port, 99),)  # for the next process
+    rig.known_endpoints = (make_endpoint("back", rig.servers[0].port, 99),)  # for the next process
 
 
 @pytest.mark.parametrize(("tried", "outcome"), [(False, "handed_back"), (True, "given_up")])
@@ -89,11 +89,11 @@
         if tried:
             rig.servers[0].behave = silent
             await (await rig.client()).submit("m1")
-            await rig.servers[0].asked(1)
+            await rig.servers[0].wait_for_requests(1)
         else:
             await owed(rig, "m1")
         await restart(rig, regraded(effect="dedup", key_ttl_us=4_000_000))
-        assert (await rig.platform.notice("m1"))["outcome"] == outcome
+        assert (await rig.platform.wait_for_notice("m1"))["outcome"] == outcome
         assert len(rig.servers[0].requests) == tried
 
 
@@ -113,7 +113,7 @@
         await owed(rig, "m1", "m2", "m3")
         monkeypatch.setattr(Forwarder, "accept", picky)
         await restart(rig, SETTINGS)
-        await rig.platform.notice(f"m{failing}")
+        await rig.platform.wait_for_notice(f"m{failing}")
         counts = rig.sender.exchange.counts
         assert (counts[Ending.DELIVERED], counts[Ending.FAILED]) == (2, 1)
         assert list(rig.platform.notices) == [f"m{failing}"]
@@ -132,9 +132,9 @@
     async with Rig(tmp_path, OK) as rig:
         monkeypatch.setattr(Forwarder, "close_idle", broken)  # behind the dispatch
         await (await rig.client()).submit("m1", d=1500)
-        assert (await rig.ended("m1")).ending is Ending.DELIVERED
+        assert (await rig.wait_for_end("m1")).ending is Ending.DELIVERED
         await (await rig.client()).submit("m2")
-        assert (await rig.ended("m2")).ending is Ending.DELIVERED
+        assert (await rig.wait_for_end("m2")).ending is Ending.DELIVERED
         assert (1, 0) not in rig.sender.exchange.forwarder.attempts
 
 
@@ -148,6 +148,6 @@
         await owed(rig, "m1", d=5000)
         rig.sender.close()  # as after SIGKILL
         rig.sender = first
-        first.exchange.list_instances(UpdateScope.FULL, rig.known)
-        await rig.until(lambda: first.exchange.counts[Ending.DELIVERED] == 1)
+        first.exchange.list_instances(UpdateScope.FULL, rig.known_endpoints)
+        await rig.wait_until(lambda: first.exchange.counts[Ending.DELIVERED] == 1)
         assert not first.journal.owed and not (tmp_path / "messages.b.log").exists()
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -346,14 +346,14 @@
 async def test_a_sender_delivers_and_hands_back_under_extreme_settings(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, changed: dict[str, Any], limits: dict[str, Any]
 ) -> None:
-    async with Rig(tmp_path, answers(Reply(200, {})), given=changed, **limits) as rig:
-        rig.once_listed(99)
+    async with Rig(tmp_path, answers(Reply(200, {})), settings_changes=changed, **limits) as rig:
+        rig.add_removed_destinations(99)
         client = await rig.client()
         for n in range(2):
             assert await client.submit(f"m{n}", d=550) == b"+OK\r\n"
-            assert (await rig.ended(f"m{n}")).ending is Ending.DELIVERED
+            assert (await rig.wait_for_end(f"m{n}")).ending is Ending.DELIVERED
         assert await client.submit("nowhere", d=100, dest=99) == b"+OK\r\n"
-        assert (await rig.platform.notice("nowhere"))["outcome"] == "handed_back"
+        assert (await rig.platform.wait_for_notice("nowhere"))["outcome"] == "handed_back"
     assert not [record for record in caplog.records if record.levelname == "ERROR"]
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -191,7 +191,7 @@
     """The start went on to its end, and the times of the restart counted from there."""
     async with Rig(tmp_path, silent) as rig:
         await (await rig.client()).submit("m1")
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         rig.sender.close()
         asks = asyncio.Event()
 
@@ -234,16 +234,16 @@
 @on_loop
 async def test_sighup_while_it_ends_moves_what_is_still_to_be_told(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(None)) as rig, Process(rig, tmp_path) as process:
-        process.platform.notice_status = [503]
+        process.platform.notice_statuses = [503]
         assert await (await process.client()).submit("m1", "print-order") == b"+OK\r\n"
-        await rig.servers[0].asked(1)
+        await rig.servers[0].wait_for_requests(1)
         process.child.send_signal(signal.SIGTERM)
-        await process.logged("stopping")
+        await process.wait_for_log("stopping")
         second = Platform()
         async with second:
             process.configure(second)
             process.child.send_signal(signal.SIGHUP)
             process.child.send_signal(signal.SIGTERM)
-            assert (await second.notice("m1"))["outcome"] == "given_up"
-            await process.logged("notices told")
+            assert (await second.wait_for_notice("m1"))["outcome"] == "given_up"
+            await process.wait_for_log("notices told")
         assert await process.child.wait() == 0
