--- a/rowanrack/net/peers.py
+++ b/rowanrack/net/peers.py
@@ -76,7 +76,7 @@
         try:
             self._socket.sendto(encode_note(note), self._broadcast_address)
         except OSError as error:
-            self._warnings.warning("could not send a note to the peers: %s", error.strerror or error)
+            self._warnings.warning("notes: could not send: %s", error.strerror or error)
 
     def _read_datagrams(self) -> None:
         """Read pending datagrams."""
@@ -88,7 +88,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                self._warnings.warning("could not receive notes from the peers: %s", error.strerror or error)
+                self._warnings.warning("notes: could not receive: %s", error.strerror or error)
                 return
             self._process_datagram(data, source)
 
@@ -118,4 +118,4 @@
 
     def _drop(self, text: str, *args: object) -> None:
         self.dropped += 1
-        self._warnings.warning("dropped a note " + text, *args)
+        self._warnings.warning("notes: dropped a datagram " + text, *args)
