--- a/rowanrack/net/fair_scheduling.py
+++ b/rowanrack/net/fair_scheduling.py
@@ -50,9 +50,8 @@
         self.delay_monitor: DelayMonitor | None = None
         self._priorities: dict[int, ConnectionPriority] = {}
         self._used_steps: dict[int, int] = {}  # by new clients, in steps of USED_TIME_STEP_US
-        self._deferred_since: dict[
-            int, float
-        ] = {}  # monotonic time since when a deferred connection has been ready
+        # The monotonic time since when each deferred connection has been ready.
+        self._deferred_since: dict[int, float] = {}
 
     def set_priority(self, descriptor: int, priority: ConnectionPriority, used_us: float = 0.0) -> None:
         """Set the priority of a connection and the CPU time that it has used, until it is unregistered."""
--- a/rowanrack/net/listener.py
+++ b/rowanrack/net/listener.py
@@ -106,9 +106,8 @@
         self.max_connections, self.exchange = max_connections, exchange
         self.after: After = exchange.after
         self.load_shedder = exchange.load_shedder
-        self.streams: dict[
-            Stream, tuple[State, int]
-        ] = {}  # with the time of the last change; latest change last
+        # The state of each stream and the time of its last change; the latest change comes last.
+        self.streams: dict[Stream, tuple[State, int]] = {}
         self.draining = self._ended = False
         self.lame = False  # in lame duck, connections close after their answer and the port stays open
         self.port = 0
--- a/rowanrack/net/peers.py
+++ b/rowanrack/net/peers.py
@@ -1,4 +1,4 @@
-"""The UDP port on which senders exchange gossip notes, with protection against strangers and floods."""
+"""The UDP port on which senders exchange gossip notes, protected against unknown senders and floods."""
 
 from __future__ import annotations
 
--- a/rowanrack/net/timing.py
+++ b/rowanrack/net/timing.py
@@ -40,7 +40,7 @@
         iteration_ended: Callable[[int, int], None] = lambda now_us, took_us: None,
     ) -> None:
         self._loop, self._wake, self._iteration_ended = asyncio.get_running_loop(), wake, iteration_ended
-        self._iteration_measured = False
+        self._measuring_iteration = False
         self._handle: asyncio.TimerHandle | None = None
         self._stopped = False
 
@@ -71,14 +71,14 @@
 
     def _fire(self) -> None:
         self._handle = None
-        if not self._iteration_measured:
-            self._iteration_measured = True
+        if not self._measuring_iteration:
+            self._measuring_iteration = True
             self._loop.call_soon(self._end_iteration, self.now_us())
         self._wake()
 
     def _end_iteration(self, began_us: int) -> None:
         """Report how long one loop iteration took: all that was ready with the wake-up has run by now."""
-        self._iteration_measured = False
+        self._measuring_iteration = False
         now = self.now_us()
         self._iteration_ended(now, now - began_us)
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -301,8 +301,8 @@
             asyncio.get_running_loop().time() - began < 1.9
         )  # the time limit for requests would close it after 2 s
         assert "reading its request takes too much time" in caplog.text
-        usual = await rig.client()
-        assert await usual.submit("m1") == b"+OK\r\n"
+        good_client = await rig.client()
+        assert await good_client.submit("m1") == b"+OK\r\n"
 
 
 def use_cpu(seconds: float) -> None:
@@ -384,11 +384,11 @@
     async with Rig(tmp_path, silent) as rig:
         front, wasted = rig.sender.fronts[0][0], list[float]()
         front.load_shedder.wasted = wasted.append  # type: ignore[assignment, method-assign]
-        usual, bad, quiet = [await rig.client() for _ in range(3)]
-        assert await usual.submit("m1") == b"+OK\r\n"
-        assert (await bad.command("NO")).startswith(b"-ERR")
+        good_client, bad_client, silent_client = [await rig.client() for _ in range(3)]
+        assert await good_client.submit("m1") == b"+OK\r\n"
+        assert (await bad_client.command("NO")).startswith(b"-ERR")
         assert not wasted and len(front._new_clients) == 2
-        for client in (usual, bad, quiet):
+        for client in (good_client, bad_client, silent_client):
             client.stream.abort()
         while front._new_clients:
             await asyncio.sleep(0.001)
@@ -529,12 +529,12 @@
         monkeypatch.setattr(LoopClock, "wake_at", lambda *_: None)
         rig.sender.clock.stop()
 
-        async def bad() -> None:
+        async def bad_client() -> None:
             while True:
                 (await rig.client()).stream.send_now(b"*1\r\n$2\r\n")
                 await asyncio.sleep(0.01)
 
-        noise = asyncio.create_task(bad())
+        noise = asyncio.create_task(bad_client())
         notice = await rig.platform.wait_for_notice("m1")
         noise.cancel()
         assert notice["outcome"] == "given_up" and loop.time() < due + 0.3
