--- a/benchmarks/notes.py
+++ b/benchmarks/notes.py
@@ -91,7 +91,7 @@
                 endpoint = next(iter(forwarder.destinations[dest].endpoints.values()), None)
                 if endpoint is not None:
                     forwarder.now, since = self.world.engine.now, forwarder.destinations[dest].held.since
-                    believed = forwarder.crowd(endpoint, since)[0]
+                    believed = forwarder.active_senders(endpoint, since)[0]
                     used += 1 / believed
                     self.errors.append(abs(math.log2(believed * own / sum_held)))
             self.shares.append(used)
--- a/rowanrack/model/cli.py
+++ b/rowanrack/model/cli.py
@@ -137,7 +137,7 @@
     "x",
     default="this",
     show_default=True,
-    help="this, pacing.CUT=0.5, FILE.toml, FOLDER or a revision.",
+    help="this, pacing.WINDOW_CUT_FACTOR=0.5, FILE.toml, FOLDER or a revision.",
 )
 @click.option("--b", "y", required=True, help="The same: what is judged against a.")
 @click.option("--runs", default=20, show_default=True, type=click.IntRange(2), help="Pairs of runs, at most.")
@@ -258,7 +258,9 @@
 
 @model.command()
 @SCENARIO
-@click.option("--set", "name", required=True, help="What is swept: pacing.CUT or settings.slots, say.")
+@click.option(
+    "--set", "name", required=True, help="What is swept: pacing.WINDOW_CUT_FACTOR or settings.slots, say."
+)
 @click.option("--values", required=True, help="Its values, with commas between.")
 @click.option("--runs", default=8, show_default=True, type=click.IntRange(2), help="Seeds played with each.")
 @SEED
--- a/rowanrack/model/worker.py
+++ b/rowanrack/model/worker.py
@@ -44,7 +44,7 @@
 
 
 def override(name: str, value: Any) -> None:
-    """Set a constant of the senders, `pacing.CUT` say. Raises OverrideError."""
+    """Set a constant of the senders, `pacing.WINDOW_CUT_FACTOR` say. Raises OverrideError."""
     part, _, constant = name.partition(".")
     if part not in MODULES:
         raise OverrideError(f"{name}: overrides begin with {', '.join(sorted(MODULES))} or settings")
--- a/rowanspindle/pacing.py
+++ b/rowanspindle/pacing.py
@@ -26,124 +26,174 @@
 
 SECOND_US = 1_000_000
 
-FLOOR = 1.0  # every window lets one call out, as in Dialogue; outages and waits are guarded elsewhere
-START_LEAST = 3.0  # calls of a first window, and one second of own calls: enough for a healthy destination
-CUT = 0.7  # factor; gentle, since windows here hold few calls and a halving would leave the floor
-SLOT_SHARE = 0.35  # part of the slots that one destination may hold: a hung one never takes them all
-
-SHORT_REFUSALS = 3  # in a row for want of connections that say nothing of a limit
-PACE_FALL = 0.8  # factor on the pace at a refusal
-PACE_RISE = 0.008  # of the first pace, added by each answer for each forwarder: the others have theirs,
-PACE_OTHERS = 3  # for so many at most: refusals come to the others as well
-PACE_LEAST = 8  # parts of the first pace, of which one is left at least
-MANY_FALL = 0.7  # factor at a refusal where senders are so many that each sees few,
-MANY_RISE = 0.1  # of the pace, added by each answer there,
-MANY_LEAST = 100  # and parts of the first pace there
-PACE_GONE = 2.5  # times the first pace: no limit is evident any more
-REPORT_WEIGHT = 0.3  # of a new report of the limit in the running mean: reports are noisy
-REPORT_MOST = 8.0  # times more or less than the list's rough rate that a report is believed
-REPORT_FALL = 0.95  # factor on the pace at a refusal where the limit is told,
-REPORT_RISE = 1.2  # and times the limit to which answers lift it
-EVEN_S = 1.0  # seconds in which the others are taken to have had work, where the limit is told
-HEARD_RISE = 0.08  # of the first pace, by which time lifts it in the second after a refusal, and more later
-HEARD_MOST = 1.4  # times the told limit to which that may go: what others hold has often gone meanwhile
-HEARD_BURST_US = 150_000  # in which refusals, own or heard, are one symptom
-BURST_S = 0.4  # seconds of pace that may go at once
-BACKOFF_S = 0.25  # seconds of the first backoff after a refusal with no wait; doubles thrice, with jitter
-JITTER = 0.25  # part of a wait or backoff by which its end is spread
+WINDOW_FLOOR_CALLS = (
+    1.0  # every window lets one call out, as in Dialogue; outages and waits are guarded elsewhere
+)
+MIN_START_WINDOW_CALLS = (
+    3.0  # calls of a first window, and one second of own calls: enough for a healthy destination
+)
+WINDOW_CUT_FACTOR = (
+    0.7  # factor; gentle, since windows here hold few calls and a halving would leave the floor
+)
+MAX_SLOT_SHARE = 0.35  # part of the slots that one destination may hold: a hung one never takes them all
+
+SHORTAGE_REFUSAL_COUNT = 3  # in a row for want of connections that say nothing of a limit
+PACE_CUT_FACTOR = 0.8  # factor on the pace at a refusal
+PACE_RISE_SHARE = 0.008  # of the first pace, added by each answer for each forwarder: the others have theirs,
+PACE_RISE_SENDER_COUNT = 3  # for so many at most: refusals come to the others as well
+PACE_FLOOR_DIVISOR = 8  # parts of the first pace, of which one is left at least
+PARTIAL_GOSSIP_PACE_CUT_FACTOR = 0.7  # factor at a refusal where senders are so many that each sees few,
+PARTIAL_GOSSIP_PACE_RISE_SHARE = 0.1  # of the pace, added by each answer there,
+PARTIAL_GOSSIP_PACE_FLOOR_DIVISOR = 100  # and parts of the first pace there
+PACE_REMOVAL_FACTOR = 2.5  # times the first pace: no limit is evident any more
+REPORT_SMOOTHING_FACTOR = 0.3  # of a new report of the limit in the running mean: reports are noisy
+REPORT_MAX_FACTOR = 8.0  # times more or less than the list's rough rate that a report is believed
+REPORT_PACE_CUT_FACTOR = 0.95  # factor on the pace at a refusal where the limit is told,
+REPORT_PACE_MAX_FACTOR = 1.2  # and times the limit to which answers lift it
+REPORTED_LIMIT_MIN_AGE_S = (
+    1.0  # seconds in which the others are taken to have had work, where the limit is told
+)
+GOSSIP_PACE_RISE_SHARE = (
+    0.08  # of the first pace, by which time lifts it in the second after a refusal, and more later
+)
+GOSSIP_PACE_MAX_FACTOR = (
+    1.4  # times the told limit to which that may go: what others hold has often gone meanwhile
+)
+REFUSAL_BURST_US = 150_000  # in which refusals, own or heard, are one symptom
+TOKEN_BURST_S = 0.4  # seconds of pace that may go at once
+INITIAL_BACKOFF_S = (
+    0.25  # seconds of the first backoff after a refusal with no wait; doubles thrice, with jitter
+)
+BACKOFF_JITTER = 0.25  # part of a wait or backoff by which its end is spread
 
 
 class SharedLimit:
     """What shares one limit: a destination, or a single route where routes are apart."""
 
     def __init__(self, settings: Settings, rate: float, own: float, now: int, token: float = 1.0) -> None:
-        self.replicas, self.own = settings.replicas, RateEstimator(now, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
-        self.measured = rate <= 0 or not settings.weights_told
-        self.weight = max(own * self.replicas if self.measured else rate, 0.1)
-        most = max(2.0, settings.slots * SLOT_SHARE)
+        self.replicas, self.own_rate = (
+            settings.replicas,
+            RateEstimator(now, RATE_MEMORY_S, INITIAL_RATE_WEIGHT),
+        )
+        self.rate_is_measured = rate <= 0 or not settings.weights_told
+        self.weight = max(own * self.replicas if self.rate_is_measured else rate, 0.1)
+        most = max(2.0, settings.slots * MAX_SLOT_SHARE)
         self.window = ConcurrencyWindow(
-            START_LEAST + self.weight / self.replicas, most, FLOOR, CUT
+            MIN_START_WINDOW_CALLS + self.weight / self.replicas, most, WINDOW_FLOOR_CALLS, WINDOW_CUT_FACTOR
         )  # and a second's
         self.calls: list[Call[Endpoint]] = []
-        self.routes, self.limit = 0, 0.0  # endpoints listed that share it, and the limit that reports tell
-        self.opens_at, self.refusals, self.refused_at = 0, 0, -1
+        self.routes, self.reported_limit = (
+            0,
+            0.0,
+        )  # endpoints listed that share it, and the limit that reports tell
+        self.opens_at, self.consecutive_refusals, self.last_refusal_at = 0, 0, -1
         # Calls a second of all while a limit is evident: from the start if it is told and refusals are priced
-        told = settings.weights_exact and settings.refused_price > 0 and not self.measured
+        told = settings.weights_exact and settings.refused_price > 0 and not self.rate_is_measured
         self.pace: float | None = self.weight if told else None
-        self.most = self.weight if told else math.inf
-        self.bucket, self.by_time, self.risen_at = TokenBucket(token), False, now
-        self.many = settings.replicas > MAX_SENDERS_ALL_TELL  # each hears of some others' work, or of none
+        self.max_pace = self.weight if told else math.inf
+        self.bucket, self.rises_with_time, self.last_rise_at = TokenBucket(token), False, now
+        self.gossip_is_partial = (
+            settings.replicas > MAX_SENDERS_ALL_TELL
+        )  # each hears of some others' work, or of none
 
-    def crowd(self, age_us: int) -> float:
+    def active_senders(self, age_us: int) -> float:
         """How many forwarders have work here, this one among them, where work has waited so long."""
         return estimate_active_senders(
-            self.replicas, self.weight, max(age_us, int(EVEN_S * SECOND_US)) if self.limit else age_us
+            self.replicas,
+            self.weight,
+            max(age_us, int(REPORTED_LIMIT_MIN_AGE_S * SECOND_US)) if self.reported_limit else age_us,
         )
 
-    def next_token(self, now: int, crowd: float, heard: bool) -> int:
+    def next_token_at(self, now: int, crowd: float, heard: bool) -> int:
         """When the pace lets the next call go, shared with the others that have work. Where their refusals
         are heard, time without any lifts it."""
-        self.by_time = heard and self.most < math.inf
-        if self.by_time and self.pace is not None:
-            quiet, gone = (now - self.refused_at) / SECOND_US, (now - self.risen_at) / SECOND_US
-            risen = self.pace + self.weight * HEARD_RISE * (1 + quiet) * gone
-            self.pace = min(self.most * HEARD_MOST, risen)
-        self.risen_at = now
+        self.rises_with_time = heard and self.max_pace < math.inf
+        if self.rises_with_time and self.pace is not None:
+            quiet, gone = (now - self.last_refusal_at) / SECOND_US, (now - self.last_rise_at) / SECOND_US
+            risen = self.pace + self.weight * GOSSIP_PACE_RISE_SHARE * (1 + quiet) * gone
+            self.pace = min(self.max_pace * GOSSIP_PACE_MAX_FACTOR, risen)
+        self.last_rise_at = now
         rate = (self.pace or 0.0) / crowd
-        return self.bucket.next_at(now, rate, max(1.0, rate * BURST_S)) if rate else now
+        return self.bucket.next_at(now, rate, max(1.0, rate * TOKEN_BURST_S)) if rate else now
 
-    def reported(self, limit: float) -> None:
+    def record_reported_limit(self, limit: float) -> None:
         """An answer told the limit: that is the rate, better than a rough one, and is paced from the start.
 
         Answers refusals by limits that are known: they cost a wait, and use the limit up at some.
         """
-        known = self.limit or self.weight
-        limit = min(max(limit, known / REPORT_MOST), known * REPORT_MOST)
-        self.limit = self.weight = self.limit + (REPORT_WEIGHT if self.limit else 1.0) * (limit - self.limit)
-        self.pace = self.limit if self.pace is None else self.pace
-
-    def refused(self, now: int, sent_at: int, wait_us: int, crowd: float, short: bool, rng: Random) -> None:
+        known = self.reported_limit or self.weight
+        limit = min(max(limit, known / REPORT_MAX_FACTOR), known * REPORT_MAX_FACTOR)
+        self.reported_limit = self.weight = self.reported_limit + (
+            REPORT_SMOOTHING_FACTOR if self.reported_limit else 1.0
+        ) * (limit - self.reported_limit)
+        self.pace = self.reported_limit if self.pace is None else self.pace
+
+    def record_refusal(
+        self, now: int, sent_at: int, wait_us: int, crowd: float, short: bool, rng: Random
+    ) -> None:
         """Full: heed a told wait, back off from an untold one, and pace what follows.
 
         Answers quick rate-limited destinations, which a window does not see; holds against shut ones and full
         queues too. Each refusal in a row shows twice as many others with work, who come again spread over the
         time that they need. It hurts where one refusal was chance: answers lift the pace.
         """
-        burst = sent_at <= self.refused_at  # calls that were out together are refused together: one symptom
-        self.refused_at = now
-        self.refusals += not burst
-        wait = wait_us or BACKOFF_S * SECOND_US * 2 ** min(self.refusals - 1, 3)
-        if short and self.refusals <= SHORT_REFUSALS:  # no connection was left: no limit is evident
+        burst = (
+            sent_at <= self.last_refusal_at
+        )  # calls that were out together are refused together: one symptom
+        self.last_refusal_at = now
+        self.consecutive_refusals += not burst
+        wait = wait_us or INITIAL_BACKOFF_S * SECOND_US * 2 ** min(self.consecutive_refusals - 1, 3)
+        if (
+            short and self.consecutive_refusals <= SHORTAGE_REFUSAL_COUNT
+        ):  # no connection was left: no limit is evident
             self.opens_at = max(self.opens_at, now + int(wait * (0.5 + rng.random())))
             return
         if not burst:
-            self.slow_down()
-        crowd = min(self.replicas, max(crowd, 2 ** min(self.refusals, 8)))
+            self.cut_pace()
+        crowd = min(self.replicas, max(crowd, 2 ** min(self.consecutive_refusals, 8)))
         others = (crowd - 1) / (self.pace or self.weight) * SECOND_US
-        spread = max(min(wait, BACKOFF_S * SECOND_US * 2) * JITTER, others) * rng.random()
+        spread = max(min(wait, INITIAL_BACKOFF_S * SECOND_US * 2) * BACKOFF_JITTER, others) * rng.random()
         self.opens_at = max(self.opens_at, now + int(wait + spread) + 1)
         self.bucket.tokens, self.bucket.filled_at = min(self.bucket.tokens, 1.0), now
 
-    def slow_down(self) -> None:
+    def cut_pace(self) -> None:
         """A limit is evident, and lower than was thought."""
-        pace = min(self.weight if self.pace is None else self.pace, self.limit or math.inf)
-        fall = REPORT_FALL if self.limit else MANY_FALL if self.many else PACE_FALL
-        self.pace = max(self.weight / (MANY_LEAST if self.many else PACE_LEAST), pace * fall)
+        pace = min(self.weight if self.pace is None else self.pace, self.reported_limit or math.inf)
+        fall = (
+            REPORT_PACE_CUT_FACTOR
+            if self.reported_limit
+            else PARTIAL_GOSSIP_PACE_CUT_FACTOR
+            if self.gossip_is_partial
+            else PACE_CUT_FACTOR
+        )
+        self.pace = max(
+            self.weight
+            / (PARTIAL_GOSSIP_PACE_FLOOR_DIVISOR if self.gossip_is_partial else PACE_FLOOR_DIVISOR),
+            pace * fall,
+        )
 
-    def heard(self, now: int, wait_us: int, rng: Random) -> None:
+    def record_heard_refusal(self, now: int, wait_us: int, rng: Random) -> None:
         """Another's call was refused: one symptom for all, and its wait holds for all; ours come spread."""
-        if self.by_time and now - self.refused_at > HEARD_BURST_US:
-            self.slow_down()
-            self.refused_at = now
+        if self.rises_with_time and now - self.last_refusal_at > REFUSAL_BURST_US:
+            self.cut_pace()
+            self.last_refusal_at = now
         if now + wait_us > self.opens_at:
             self.opens_at = now + wait_us
             self.bucket.tokens, self.bucket.filled_at = min(self.bucket.tokens, rng.random()), self.opens_at
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """An answer: the pace rises until no limit is evident."""
-        self.refusals = 0
-        if self.pace is not None and not self.by_time:
-            risen = self.pace + self.weight * PACE_RISE * min(self.replicas, PACE_OTHERS)
-            risen = max(risen, self.pace * (1 + MANY_RISE)) if self.many else risen
-            gone = None if risen > self.weight * PACE_GONE else risen
-            self.pace = min(risen, self.limit * REPORT_RISE) if self.limit else gone and min(gone, self.most)
+        self.consecutive_refusals = 0
+        if self.pace is not None and not self.rises_with_time:
+            risen = self.pace + self.weight * PACE_RISE_SHARE * min(self.replicas, PACE_RISE_SENDER_COUNT)
+            risen = (
+                max(risen, self.pace * (1 + PARTIAL_GOSSIP_PACE_RISE_SHARE))
+                if self.gossip_is_partial
+                else risen
+            )
+            gone = None if risen > self.weight * PACE_REMOVAL_FACTOR else risen
+            self.pace = (
+                min(risen, self.reported_limit * REPORT_PACE_MAX_FACTOR)
+                if self.reported_limit
+                else gone and min(gone, self.max_pace)
+            )
--- a/rowanspindle/state.py
+++ b/rowanspindle/state.py
@@ -46,10 +46,10 @@
     def calls(self) -> Sized:
         """Its calls that are out."""
 
-    def recovers(self, now: int) -> bool:
+    def is_recovering(self, now: int) -> bool:
         """Whether it is out or cold."""
 
-    def known(self, target: str) -> Outage:
+    def to_outage(self, target: str) -> Outage:
         """What is known of its outage."""
 
 
@@ -65,10 +65,10 @@
 
     def __init__(self, endpoint: E, now: int, new: bool) -> None:
         self.endpoint, self.sent_at = endpoint, now
-        self.judged = self.called_off = False
+        self.learned_from = self.cancelled = False
         self.idle_us = 0  # for how long the connection that it may have used was idle
-        self.new = new  # it needs a connection of its own
-        self.open: dict[tuple[int, int], Message] = {}
+        self.new_connection = new  # it needs a connection of its own
+        self.open_attempts: dict[tuple[int, int], Message] = {}
 
 
 class ForwarderState(Generic[E, G]):
@@ -76,47 +76,49 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng = settings, Random(seed)
-        self.starts = Random(f"{seed} starts")  # for what many senders would else begin together
+        self.startup_rng = Random(f"{seed} starts")  # for what many senders would else begin together
         self.now, self.actions = 0, list[Action]()
         self.messages: dict[int, Message] = {}
         self.attempts: dict[tuple[int, int], tuple[Call[E], Message]] = {}
         self.destinations: defaultdict[int, DestinationState[E, G]] = defaultdict(DestinationState)
         self.endpoints: dict[str, E] = {}
-        self.digests: dict[int, E] = {}  # by what notes call them
+        self.endpoints_by_digest: dict[int, E] = {}  # by what notes call them
         self.keys: dict[str, KeyQueue] = {}
         self.calls: dict[Call[E], None] = {}
-        self.trials: dict[Call[E], None] = {}  # those of them to endpoints in an outage
+        self.trial_calls: dict[Call[E], None] = {}  # those of them to endpoints in an outage
         self.waiting: dict[int, DestinationState[E, G]] = {}
         self.changed: dict[int, None] = {}  # destinations where something happened since they were looked at,
-        self.unweighed: dict[int, None] = {}  # and since it was weighed what they could spare
+        self.changed_shed_candidates: dict[int, None] = {}  # and since it was weighed what they could spare
         self.ready: PriorityQueue[int] = PriorityQueue()  # destinations with a choice, the most urgent first
-        self.spare: PriorityQueue[int] = (
+        self.shed_candidates: PriorityQueue[int] = (
             PriorityQueue()
         )  # while the hold is nearly full: the least valuable first
         self.openings: DeadlineQueue[int] = (
             DeadlineQueue()
         )  # when a destination without a choice may have one
-        self.ends: DeadlineQueue[int] = DeadlineQueue()  # when a message is out of time, or may not go again
-        self.silences: DeadlineQueue[E] = DeadlineQueue()
+        self.expiries: DeadlineQueue[int] = (
+            DeadlineQueue()
+        )  # when a message is out of time, or may not go again
+        self.silence_checks: DeadlineQueue[E] = DeadlineQueue()
         self.overdue_at: DeadlineQueue[Call[E]] = (
             DeadlineQueue()
         )  # when a call has been out for longer than the silence,
         self.overdue: dict[Call[E], None] = {}  # and those that have
         self.key_rests: DeadlineQueue[str] = DeadlineQueue()  # when a key has rested
-        self.leaving: DeadlineQueue[E] = DeadlineQueue()  # when an unlisted endpoint may be forgotten
+        self.removals: DeadlineQueue[E] = DeadlineQueue()  # when an unlisted endpoint may be forgotten
         self.unlisted: dict[str, E] = {}
         self.recovering: dict[E, None] = {}  # that are out or cold, or were
-        self.recalled: dict[str, tuple[Outage, int]] = {}  # of those not listed now; until when believed
-        self.moved: set[int] = set()  # destinations whose list has changed in this round
-        self.answered: dict[E, None] = {}
-        self.zones: dict[str, RunningMean] = {}  # how long answers of each take, and
-        self.refusals: dict[str, RunningMean] = {}  # refusals
-        self.own = RateEstimator(NEVER, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
+        self.known_outages: dict[str, tuple[Outage, int]] = {}  # of those not listed now; until when believed
+        self.changed_lists: set[int] = set()  # destinations whose list has changed in this round
+        self.recently_answered: dict[E, None] = {}
+        self.zone_latency: dict[str, RunningMean] = {}  # how long answers of each take, and
+        self.refusal_latency: dict[str, RunningMean] = {}  # refusals
+        self.own_rate = RateEstimator(NEVER, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
         self.connection_reuse = ConnectionReuse(settings)
         self.quota = {
             n: TokenBucket(r * QUOTA_BURST_S / settings.replicas) for n, r in settings.tenants.items()
         }
-        self.token, self.armed_for = 0, NEVER
+        self.token, self.armed_at = 0, NEVER
         self.list_watch, self.gossip = ListWatch(settings), Gossip(settings, Random(f"{seed} tells").random())
 
     def mark_changed(self, number: int) -> None:
@@ -125,8 +127,8 @@
             self.gossip.update_held(number, len(kept.held), kept.held.since)
         if number in self.waiting:
             self.changed[number] = None
-            if self.spare or self.unweighed:
-                self.unweighed[number] = None
+            if self.shed_candidates or self.changed_shed_candidates:
+                self.changed_shed_candidates[number] = None
 
     def refresh_key(self, key: str) -> None:
         """Something happened to a key: its first message may have come to its turn, or lost it."""
@@ -142,7 +144,7 @@
     def initial_rate(self) -> float:
         """The first guess at own calls a second to a destination that is not known yet."""
         slots_busy = self.settings.slots / min(c.aim_us for c in self.settings.classes.values()) * SECOND_US
-        return self.own.rate(self.now, slots_busy) / max(1, len(self.destinations))
+        return self.own_rate.rate(self.now, slots_busy) / max(1, len(self.destinations))
 
     def forget_empty_destination(self, number: int) -> None:
         """Forget a destination with no endpoint and nothing held."""
@@ -163,35 +165,35 @@
         if endpoint.listed:
             endpoint.listed = False
             self.mark_changed(endpoint.dest)
-            self.moved.add(endpoint.dest)
+            self.changed_lists.add(endpoint.dest)
             self.unlisted[endpoint.target] = endpoint
             endpoint.shared_limit.routes -= 1
-            self.leaving.set(endpoint, self.now)
+            self.removals.set(endpoint, self.now)
 
-    def forget(self) -> None:
+    def forget_unlisted(self) -> None:
         """Drop what is unlisted with nothing out or to remember, and destinations that stand empty."""
-        for endpoint in self.leaving.due(self.now):
+        for endpoint in self.removals.due(self.now):
             kept_until = max(endpoint.shared_limit.opens_at, endpoint.failed_at + self.settings.ramp_us)
             if endpoint.listed or endpoint.calls or self.unlisted.get(endpoint.target) is not endpoint:
                 continue  # listed again, or its last call's end looks here again
             if self.now >= kept_until:
-                if endpoint.recovers(self.now):
-                    self.believe_outages((endpoint.known(endpoint.target),))
-                self.drop(endpoint)
+                if endpoint.is_recovering(self.now):
+                    self.remember_outages((endpoint.to_outage(endpoint.target),))
+                self.forget_endpoint(endpoint)
             else:
-                self.leaving.set(endpoint, kept_until)
+                self.removals.set(endpoint, kept_until)
 
-    def believe_outages(self, outages: tuple[Outage, ...]) -> None:
+    def remember_outages(self, outages: tuple[Outage, ...]) -> None:
         """Believe for the time of a slow start what is known of endpoints that are not listed now."""
-        believed = {target: known for target, known in self.recalled.items() if self.now < known[1]}
+        believed = {target: known for target, known in self.known_outages.items() if self.now < known[1]}
         until = self.now + self.settings.ramp_us
-        self.recalled = believed | {outage.target: (outage, until) for outage in outages}
+        self.known_outages = believed | {outage.target: (outage, until) for outage in outages}
 
-    def drop(self, endpoint: E) -> None:
+    def forget_endpoint(self, endpoint: E) -> None:
         """Forget an endpoint that was unlisted."""
         del self.endpoints[endpoint.target], self.unlisted[endpoint.target]
-        self.digests.pop(endpoint_digest(endpoint.target), None)
-        self.leaving.drop(endpoint)
+        self.endpoints_by_digest.pop(endpoint_digest(endpoint.target), None)
+        self.removals.drop(endpoint)
         del self.destinations[endpoint.dest].endpoints[endpoint.target]
         self.forget_empty_destination(endpoint.dest)
 
@@ -207,7 +209,7 @@
         """The message has had its final answer."""
         if self.messages.pop(message.ref, None) is None:
             return
-        self.ends.drop(message.ref)
+        self.expiries.drop(message.ref)
         if message.group is not None:
             self.release(message)
         self.forget_empty_destination(message.dest)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -78,16 +78,16 @@
 def test_where_refusals_are_paid_for_a_told_limit_paces_from_the_start_and_is_not_passed() -> None:
     """Each answer lifted the pace by the part of all forty, but a refusal cut only one's own: 37% refused."""
     caller = Caller(member("t1", weight=20.0), replicas=40, weights_exact=True, refused_price=0.1)
-    gate = caller.forwarder.endpoints["t1"].shared_limit
-    assert gate.pace == 20.0
+    limit = caller.forwarder.endpoints["t1"].shared_limit
+    assert limit.pace == 20.0
     caller.end(caller.accept(), Result.FULL, wait_us=SECOND_US // 2)
-    cut, paces = gate.pace, []
+    cut, paces = limit.pace, []
     for _ in range(30):
         caller.wait(5 * SECOND_US)
         for ref in {r for r, _ in caller.out} | ({caller.accept()} if not caller.out else set()):
             if caller.is_out(ref):
                 caller.end(ref)
-        paces.append(gate.pace)
+        paces.append(limit.pace)
     assert cut is not None and cut < 20.0 and paces[0] - cut < 0.1 * 20.0
     assert max(paces) == 20.0  # 44 without the bound, and no pace at all behind that
 
--- a/tests/test_lowered.py
+++ b/tests/test_lowered.py
@@ -35,8 +35,8 @@
         caller.accept()
     forwarder, endpoint = caller.forwarder, caller.forwarder.endpoints["t1"]
     forwarder.now += SECOND_US
-    crowd, _ = forwarder.crowd(endpoint, caller.now)
-    assert crowd == max(1.0, endpoint.shared_limit.crowd(SECOND_US) / times)
+    crowd, _ = forwarder.active_senders(endpoint, caller.now)
+    assert crowd == max(1.0, endpoint.shared_limit.active_senders(SECOND_US) / times)
 
 
 @pytest.mark.parametrize(("left_us", "goes"), [(150_000, False), (300_000, True)])
--- a/tests/test_measured.py
+++ b/tests/test_measured.py
@@ -6,7 +6,7 @@
 
 from rowanspindle import Disconnect, EndpointListUpdate, Result, Send, UpdateScope
 from rowanspindle.data_structures import RunningMean
-from rowanspindle.logic import SMOOTH
+from rowanspindle.logic import LATENCY_SMOOTHING_FACTOR
 from tests.helpers import SECOND_US, Caller, member
 
 
@@ -23,8 +23,8 @@
 @pytest.mark.parametrize("replicas", [3, 300])
 def test_own_calls_stand_in_for_a_rate_that_is_not_told(replicas: int) -> None:
     """The weight 1 of a list without weights was taken for one call a second of the whole destination."""
-    gate = run_at(4.0, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit
-    assert gate.weight == pytest.approx(4.0 * replicas, rel=0.15)
+    limit = run_at(4.0, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit
+    assert limit.weight == pytest.approx(4.0 * replicas, rel=0.15)
 
 
 @pytest.mark.parametrize("replicas", [3, 300])
@@ -34,9 +34,9 @@
         run_at(r, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit for r in (20.0, 0.1)
     )
     age = 60 * SECOND_US
-    total = busy.weight / busy.crowd(age) + (replicas - 1) * quiet.weight / quiet.crowd(age)
+    total = busy.weight / busy.active_senders(age) + (replicas - 1) * quiet.weight / quiet.active_senders(age)
     assert total < 1.5 * (20.0 + (replicas - 1) * 0.1)
-    assert busy.weight / busy.crowd(age) > 15
+    assert busy.weight / busy.active_senders(age) > 15
 
 
 def test_an_outage_does_not_count_against_the_measured_rate() -> None:
@@ -132,7 +132,7 @@
     """How many calls go to the near zone before the first goes to one that answers in twice the time."""
     caller = Caller(member("near", zone="z"), member("far", zone="y"), member("other", dest=2))
     for zone, us in ("z", 50_000.0), ("y", 100_000.0):
-        usual = caller.forwarder.zones[zone] = RunningMean(SMOOTH)
+        usual = caller.forwarder.zone_latency[zone] = RunningMean(LATENCY_SMOOTHING_FACTOR)
         for _ in range(40):
             usual.add(us)
     for _ in range(others):
@@ -168,11 +168,11 @@
 def test_a_report_that_cannot_be_does_not_stop_a_destination() -> None:
     caller = Caller(member("t1", weight=40.0), slots=60)
     caller.end(caller.accept(), limit=1e-9)
-    gate = caller.forwarder.endpoints["t1"].shared_limit
-    assert gate.weight == 5.0
+    limit = caller.forwarder.endpoints["t1"].shared_limit
+    assert limit.weight == 5.0
     caller.wait(SECOND_US)
     caller.end(caller.accept(), limit=1e300)
-    assert gate.weight < 40.0
+    assert limit.weight < 40.0
 
 
 def test_a_limit_that_is_told_outlasts_the_next_list() -> None:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -341,7 +341,7 @@
         (("run", "nowhere"), "nowhere: no such scenario; there are august-refusals"),
         (("run", "/nowhere.scenario"), "/nowhere.scenario: No such file"),
         (("compare", "quiet-day", "--b", "logic.NONE=1"), "rowanspindle.logic has no NONE"),
-        (("compare", "quiet-day", "--b", "pacing.CUT=x"), "'x' is no number"),
+        (("compare", "quiet-day", "--b", "pacing.WINDOW_CUT_FACTOR=x"), "'x' is no number"),
         (("compare", "quiet-day", "--b", "settings.slotz=1"), "settings.slotz"),
         (
             ("compare", "quiet-day", "--b", "no-such-revision"),
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -169,7 +169,7 @@
     assert endpoint.ramp_from is not None
     alone, shared = endpoint.cold_rate(caller.now, 1.0), endpoint.cold_rate(caller.now)
     assert alone > 10 * shared
-    endpoint.ramp.tokens = 0.0
+    endpoint.ramp_bucket.tokens = 0.0
     caller.accept()
     caller.wait(round(SECOND_US / alone) + SECOND_US // 20)
     assert (len(caller.out) == 1) is heard
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -144,7 +144,7 @@
     destination = forwarder.destinations[1]
     destination.held = waiting(cls, lefts, forwarder.now)
     drained = forwarder.now + forwarder.drain_us(destination)
-    least = forwarder.least(destination)
+    least = forwarder.least_valuable(destination)
     everything = [line[n] for line in destination.held.refusable() for n in range(len(line))]
     assert least is not None
     best = min((m.value(drained, False), -m.deadline) for m in everything)
@@ -209,13 +209,13 @@
         caller.now += 1000
         caller.accept(dest=n)
     forwarder, looks = caller.forwarder, list[int]()
-    inner = forwarder.look
+    inner = forwarder.refresh_pick
 
     def counted(number: int) -> None:
         looks.append(number)
         inner(number)
 
-    forwarder.look = counted  # type: ignore[method-assign]
+    forwarder.refresh_pick = counted  # type: ignore[method-assign]
     caller.end(caller.sends()[0][1].ref)
     assert caller.sends()[-1][0] == caller.now and len(looks) <= 100
     for ref, _ in list(caller.out):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -372,7 +372,7 @@
         caller.wait(SECOND_US)
         caller.end(other, latency_us=SECOND_US)
         caller.accept(cls, dest=1)
-        silence = caller.forwarder.endpoints["t1"].silence_us()
+        silence = caller.forwarder.endpoints["t1"].silence_timeout_us()
         caller.wait(int(silence) - SECOND_US + SECOND_US // 10)
         caller.accept(dest=3)
         assert any(isinstance(a, Cancel) for _, a in caller.log) is called_off
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -50,12 +50,14 @@
 
 
 def test_the_crowd_is_one_at_first_and_the_whole_fleet_at_last() -> None:
-    gate = SharedLimit(replace(BASE, replicas=200), 4.0, 1.0, 0)
-    assert gate.crowd(0) == 1
-    assert gate.crowd(SECOND_US) == pytest.approx(5, rel=0.05)
-    assert gate.crowd(3600 * SECOND_US) == pytest.approx(200)
-    assert SharedLimit(replace(BASE, replicas=2), 10.0, 1.0, 0).crowd(SECOND_US) == pytest.approx(2, rel=0.05)
-    assert SharedLimit(replace(BASE, replicas=1), 10.0, 1.0, 0).crowd(SECOND_US) == 1
+    limit = SharedLimit(replace(BASE, replicas=200), 4.0, 1.0, 0)
+    assert limit.active_senders(0) == 1
+    assert limit.active_senders(SECOND_US) == pytest.approx(5, rel=0.05)
+    assert limit.active_senders(3600 * SECOND_US) == pytest.approx(200)
+    assert SharedLimit(replace(BASE, replicas=2), 10.0, 1.0, 0).active_senders(SECOND_US) == pytest.approx(
+        2, rel=0.05
+    )
+    assert SharedLimit(replace(BASE, replicas=1), 10.0, 1.0, 0).active_senders(SECOND_US) == 1
 
 
 @pytest.mark.parametrize("replicas", [3, 40, 200])
@@ -170,7 +172,10 @@
     for later in (2, 6, 10):
         now = endpoint.ramp_from + later * SECOND_US
         share = BASE.cold_share + (1 - BASE.cold_share) * later * SECOND_US / BASE.ramp_us
-        assert endpoint.cold_rate(now) * endpoint.shared_limit.crowd(later * SECOND_US) <= share * 2.0 * 40.0
+        assert (
+            endpoint.cold_rate(now) * endpoint.shared_limit.active_senders(later * SECOND_US)
+            <= share * 2.0 * 40.0
+        )
 
 
 def test_nothing_is_picked_while_nothing_can_have_changed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -179,14 +184,14 @@
     for dest in range(20):
         caller.accept(dest=dest)
     looks = 0
-    inner = Forwarder.gate_opens
+    inner = Forwarder.sendable_at
 
     def counted(self: Forwarder, endpoint: Endpoint) -> int:
         nonlocal looks
         looks += 1
         return inner(self, endpoint)
 
-    monkeypatch.setattr(Forwarder, "gate_opens", counted)
+    monkeypatch.setattr(Forwarder, "sendable_at", counted)
     for _ in range(10):
         caller.accept(dest=19)
     assert looks == 0  # every slot is taken
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -42,7 +42,7 @@
     assert len(caller.out) == 1
     caller.wait(FALL)
     sibling = next(e for e in caller.forwarder.endpoints.values() if e.out_since is None)
-    assert sibling.doubted
+    assert sibling.suspected
     caller.end(next(iter(caller.out))[0], Result.OK)
     assert sibling.ramp_from is None  # the call had been sent at once: it was never out
 
@@ -53,7 +53,7 @@
     sibling = next(e for e in caller.forwarder.endpoints.values() if e.out_since is None)
     caller.wait(FALL)
     ref, _ = next(iter(caller.out))
-    sibling.ramp.tokens = 1.0
+    sibling.ramp_bucket.tokens = 1.0
     caller.end(ref, Result.CANCELLED)
     caller.end(ref)
     assert sibling.ramp_from == caller.now
@@ -74,12 +74,12 @@
     caller = sender()
     caller.end(caller.accept(left_us=LONG), Result.CONNECT_FAILED)
     first, sibling = sorted(caller.forwarder.endpoints.values(), key=lambda e: e.out_since is None)
-    first.proved = proved
+    first.failure_confirmed = proved
     caller.step(NoteReceived(3, Note(1, (Fact(FactKind.BACK, endpoint_digest(first.target)),))))
     caller.wait(SECOND_US // 10)
     caller.step(NoteReceived(3, Note(2, (Fact(FactKind.BACK, endpoint_digest(first.target)),))))
     for endpoint in (first, sibling):
-        assert endpoint.out_since is None and not endpoint.doubted
+        assert endpoint.out_since is None and not endpoint.suspected
         assert (endpoint.ramp_from is not None) is proved
 
 
@@ -91,7 +91,7 @@
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("late", weight=8.0),)))
     for target in ("a", "late"):
         endpoint = caller.forwarder.endpoints[target]
-        assert endpoint.doubted if back is None else endpoint.ramp_from == back
+        assert endpoint.suspected if back is None else endpoint.ramp_from == back
     assert set(caller.forwarder.outages(caller.now)) == set(outages)
 
 
@@ -102,7 +102,7 @@
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("a", status=EndpointStatus.REMOVED),)))
     caller.wait(away_us)
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("a", weight=8.0),)))
-    assert caller.forwarder.endpoints["a"].recovers(caller.now) is known
+    assert caller.forwarder.endpoints["a"].is_recovering(caller.now) is known
 
 
 def test_who_has_just_begun_to_listen_takes_an_even_part() -> None:
@@ -116,14 +116,14 @@
     assert hearsay.informed(caller.now)
 
 
-@pytest.mark.parametrize("again", ["strike", "begin_cold"])
+@pytest.mark.parametrize("again", ["begin_outage", "begin_cold"])
 def test_a_slow_start_that_is_over_leaves_no_full_bucket(again: str) -> None:
     """Nothing had been sent since it was over, and the next outage went on with all saved up."""
     caller = sender()
     endpoint, end = caller.forwarder.endpoints["a"], caller.now + LONG
-    endpoint.recover(caller.now, True, Random(1))
+    endpoint.end_outage(caller.now, True, Random(1))
     getattr(endpoint, again)(end, end, Random(1))
-    assert endpoint.next_send(end, None) > end
+    assert endpoint.next_send_at(end, None) > end
 
 
 def test_trials_of_a_fleet_that_learns_together_keep_the_budget() -> None:
