--- a/rowanspindle/logic.py
+++ b/rowanspindle/logic.py
@@ -1,7 +1,9 @@
-"""All decisions of rowanspindle. The interface (settings, events, actions) stands in rowanspindle/api.py.
+"""Decision module of a sender: routing, retries, refusals, outages and load shedding.
 
-The ordinary path is Dialogue's: a held message, a route (lowest in-flight count plus ten times recent
-failures), a permit of the endpoint's window and of the destination's, the send. Departures: docs/design.md.
+The interface (settings, events, actions) is defined in rowanspindle/api.py. The main path follows Dialogue:
+hold a message, choose an endpoint (lowest in-flight count plus ten times its recent failures), acquire a
+permit from the concurrency windows of the endpoint and of its destination, and send. docs/design.md lists the
+differences.
 """
 
 from __future__ import annotations
@@ -49,102 +51,115 @@
 
 SECOND_US = 1_000_000
 
-FAILURE_PENALTY_CALLS = 10.0  # in-flight calls that one recent failure weighs, as in Dialogue
-FAILURE_DECAY_S = 3.0  # seconds in which a failure's weight falls to 1/e
-FULL_SLOTS_ZONE_FACTOR = 3.0  # times more that a far zone weighs when every slot is taken
-NEW_CONNECTION_PENALTY_CALLS = 1.5  # in-flight calls that the lack of a warm idle connection weighs
-CALLS_PER_EXTRA_CONNECTION = (
-    4.0  # calls on each connection while an idle one lives, from which one more is worth having
-)
-ENDPOINT_TOLERANCE_ERRORS = 2.0  # standard errors of two mean answer times by which they may differ by chance
-ZONE_TOLERANCE_ERRORS = 1.0  # and those of two zones
-LARGE_FLEET_SENDERS = (
-    8  # forwarders, of whom each sees little of an endpoint; of fewer each learns soon what was chance
-)
-SLOWNESS_PENALTY_CALLS = 2.0  # in-flight calls that an answer time twice that of the quickest route weighs
-CROSSING_PENALTY_CALLS = 25.0  # and that a point of the result weighs, which a call to another zone costs
-ZONE_FEE_PENALTY_CALLS = (
-    25.0  # and that a point of the result weighs, which a route apart takes for each message
-)
-
-LATENCY_SMOOTHING_FACTOR = (
-    0.15  # weight of a new answer time in the running mean and deviation (about the last dozen answers)
-)
-REFUSAL_DEVIATION_FACTOR = (
-    2.0  # deviations past the mean of a zone's refusals, by which nearly all have come,
-)
-MAX_REFUSAL_US = 500_000  # and what that comes to at most: slower ones stood in a queue
-SILENCE_DEVIATION_FACTOR = (
-    8.0  # deviations past the mean, and SILENCE_MEAN_FACTOR: a call beyond both is out too long
-)
-SILENCE_MEAN_FACTOR = 5.0  # times the mean answer time
-SINGLE_CALL_SILENCE_FACTOR = 2.0  # times the silence that a single call out is allowed
-MIN_SILENCE_AIM_FACTOR = 0.4  # of the shortest aim, which is the guess itself until there is an answer
-TIMEOUT_SILENCE_FACTOR = 4.0  # silences after which an attempt that may be repeated is given up,
-UNSAFE_CANCEL_SILENCE_FACTOR = 2.5  # and one that may not, while others starve of slots
-
-OUTAGE_FAILURE_COUNT = 3  # failures in a row that mean an outage, at most
-OUTAGE_EVIDENCE_S = 2.0  # or as many as this forwarder's part of the calls in this time: others fail likewise
-OUTAGE_REFUSAL_COUNT = 4  # refusals in a row without an answer that mean that the destination is shut
-OUTAGE_REFUSALS_PER_SENDER = 1.3  # or so many for each forwarder, if more: answers may go to the others
-
-SCARCE_SLOT_SHARE = 0.75  # part of the slots from which trials, which may hang, get
-TRIAL_SLOT_SHARE = 0.12  # this part of the slots at most
-TRIAL_EFFECT_ORDER = (Effect.UNSAFE, Effect.KEYED, Effect.SAFE)  # what a trial risks: last first
-
-SHED_START_SHARE = 0.92  # part of most_held from which the least valuable messages are refused
-SHED_END_SHARE = 0.8  # and below which what each destination could spare is no longer kept in mind
-MAX_DRAIN_S = 10.0  # seconds looked ahead when messages are compared
-MIN_DRAIN_S = 1.0  # seconds for which the loss by waiting is weighed, at least
-PICK_VALIDITY_US = (
-    50_000  # time for which a pick stands: urgencies hardly change, and picks are the costly part
-)
-MAX_REFRESH_COUNT = 8  # picks that have stood longer looked at anew before the most urgent is taken, at most
-MAX_CHANGED_PER_ROUND = (
-    64  # destinations looked at in one round since something happened there; the others the next
-)
-MAX_WEIGHED_PER_ROUND = 64  # destinations weighed in one round for what they could spare, at most
-STALE_REFRESH_COUNT = (
-    8  # and those that have stood longest, in each round: a pick far down may have become urgent
-)
+FAILURE_PENALTY_CALLS = 10.0  # a recent failure counts as this many in-flight calls, as in Dialogue
+FAILURE_DECAY_S = 3.0  # time in which the weight of a failure decays to 1/e
+FULL_SLOTS_ZONE_FACTOR = 3.0  # extra weight of a far zone when every slot is taken, as a multiple
+NEW_CONNECTION_PENALTY_CALLS = 1.5  # the lack of a warm idle connection counts as this many in-flight calls
+# Expected calls per connection within its keep-alive time from which one more connection is worth opening.
+CALLS_PER_EXTRA_CONNECTION = 4.0
+# Difference of two mean answer times, in standard errors, that is still attributed to chance.
+ENDPOINT_TOLERANCE_ERRORS = 2.0
+# Difference of two zones' mean answer times, in standard errors, attributed to chance.
+ZONE_TOLERANCE_ERRORS = 1.0
+# Fleet size from which each sender sees few calls of an endpoint. Senders of smaller fleets soon correct a
+# chance result.
+LARGE_FLEET_SENDERS = 8
+# An answer time twice that of the fastest endpoint counts as this many in-flight calls.
+SLOWNESS_PENALTY_CALLS = 2.0
+# In-flight calls that correspond to one point of the score paid for a call to another zone.
+CROSSING_PENALTY_CALLS = 25.0
+# In-flight calls that correspond to one point of the score paid per message on an endpoint with its own
+# limit.
+ZONE_FEE_PENALTY_CALLS = 25.0
+
+# Weight of a new answer time in the running mean and deviation: covers about the last dozen answers.
+LATENCY_SMOOTHING_FACTOR = 0.15
+# Deviations above the mean time of a zone's refusals within which nearly all refusals have arrived.
+REFUSAL_DEVIATION_FACTOR = 2.0
+MAX_REFUSAL_US = 500_000  # upper bound of the time expected for a refusal: slower ones had been queued
+# A call is silent when it exceeds both the mean plus this many deviations and SILENCE_MEAN_FACTOR times the
+# mean.
+SILENCE_DEVIATION_FACTOR = 8.0
+SILENCE_MEAN_FACTOR = 5.0  # see SILENCE_DEVIATION_FACTOR; as a multiple of the mean answer time
+SINGLE_CALL_SILENCE_FACTOR = 2.0  # a single call in flight may take this many times the silence time-out
+# Lower bound of the silence time-out as a share of the shortest aim, which is the estimate until the first
+# answer.
+MIN_SILENCE_AIM_FACTOR = 0.4
+TIMEOUT_SILENCE_FACTOR = 4.0  # silence time-outs after which a repeatable attempt times out
+# Silence time-outs after which a call that cannot be repeated is cancelled while others lack slots.
+UNSAFE_CANCEL_SILENCE_FACTOR = 2.5
+
+OUTAGE_FAILURE_COUNT = 3  # upper bound of the consecutive failures that count as an outage
+# With rare calls, as many failures as own calls are expected in this time count as an outage: the other
+# senders see failures too.
+OUTAGE_EVIDENCE_S = 2.0
+OUTAGE_REFUSAL_COUNT = 4  # consecutive refusals without an answer that count as an outage of the destination
+# Lower bound, per sender, of the consecutive refusals that count as an outage: the answers may go to the
+# other senders.
+OUTAGE_REFUSALS_PER_SENDER = 1.3
+
+SCARCE_SLOT_SHARE = 0.75  # share of the slots in use above which trial calls, which may hang, are limited
+TRIAL_SLOT_SHARE = 0.12  # share of the slots that trial calls may take while slots are scarce
+# Effects in order of preference for trial calls, the least preferred first: a trial call may be lost.
+TRIAL_EFFECT_ORDER = (Effect.UNSAFE, Effect.KEYED, Effect.SAFE)
+
+SHED_START_SHARE = 0.92  # share of most_held above which the least valuable messages are refused
+SHED_END_SHARE = 0.8  # share of most_held below which the shedding candidates are no longer tracked
+MAX_DRAIN_S = 10.0  # upper bound of the time to drain used to compare messages
+MIN_DRAIN_S = 1.0  # lower bound of the time to drain used to compare messages
+# How long a pick stays valid: urgencies change slowly, and picking is the expensive part of a round.
+PICK_VALIDITY_US = 50_000
+MAX_REFRESH_COUNT = 8  # outdated picks refreshed at most before the most urgent one is taken
+# Changed destinations that are picked again in one round. The others follow in the next round.
+MAX_CHANGED_PER_ROUND = 64
+MAX_WEIGHED_PER_ROUND = 64  # destinations whose shedding candidate is refreshed in one round at most
+# The oldest picks refreshed in each round, because a pick far down the queue may have become urgent.
+STALE_REFRESH_COUNT = 8
 
 
 def is_lost(call: Call[Endpoint], now: int) -> bool:
-    """Out beyond the silence while a later answer came: it will hardly be answered, and holds no permit.
+    """Return whether a call is overdue although an answer came after it was sent: it will hardly be answered.
 
-    Answers endpoints that swallow single calls: unsafe ones filled the windows until their deadline.
+    Such a call holds no permit. Endpoints that swallow single calls otherwise fill the windows with unsafe
+    calls until their deadline.
     """
     return (
         call.endpoint.answered_at > call.sent_at and now - call.sent_at >= call.endpoint.silence_timeout_us()
     )
 
 
-def latency_excess(usual: tuple[float, float], quick: tuple[float, float], chance: float) -> float:
-    """By what part a mean answer time is above the quickest's, with the error of each; 0 if it may be chance.
+def latency_excess(measured: tuple[float, float], fastest: tuple[float, float], tolerance: float) -> float:
+    """Return by which share a mean answer time exceeds the fastest one, or 0 if that may be chance.
 
-    Answers herds: of equal endpoints each forwarder went on calling the few that had been quick by chance.
+    Each argument is a mean with its standard error. Without the check for chance, each sender keeps calling
+    the few of many equal endpoints that happened to answer fast at first, and these get overloaded.
     """
-    (mean, error), (least, doubt) = usual, quick
-    return mean / least - 1 if mean - least > chance * (error + doubt) else 0.0
+    (mean, error), (fastest_mean, fastest_error) = measured, fastest
+    return mean / fastest_mean - 1 if mean - fastest_mean > tolerance * (error + fastest_error) else 0.0
 
 
 def is_window_full(window: ConcurrencyWindow, calls: list[Call[Endpoint]], now: int) -> bool:
-    """Whether the calls in flight leave no permit; lost ones hold none."""
+    """Return whether the calls in flight leave no permit; lost calls hold none."""
     size = int(window.size)
     return len(calls) >= size and sum(not is_lost(c, now) for c in calls) >= size
 
 
 class Endpoint(OutageState):
-    """One endpoint: its window, its answer times, its outage and slow start."""
+    """One endpoint with its concurrency window, answer times, outage and slow start."""
 
     def __init__(
-        self, member: EndpointEntry, shared_limit: SharedLimit, settings: Settings, turn: float, drawn: bool
+        self,
+        entry: EndpointEntry,
+        shared_limit: SharedLimit,
+        settings: Settings,
+        turn: float,
+        preferred: bool,
     ) -> None:
         super().__init__(settings)
-        self.target, self.zone, self.dest, self.kind = member.target, member.zone, member.dest, member.kind
+        self.target, self.zone, self.dest, self.kind = entry.target, entry.zone, entry.dest, entry.kind
         self.shared_limit, self.settings = shared_limit, settings
-        self.turn, self.share = turn, 1.0  # equal ranks take turns, as often as their shares say
-        self.listed, self.preferred = True, drawn  # drawn: by lot, to be called first
+        self.turn, self.share = turn, 1.0  # endpoints of equal rank take turns in proportion to their shares
+        self.listed, self.preferred = True, preferred  # preferred: chosen at random to be called first
         self.window = ConcurrencyWindow(
             shared_limit.window.size,
             shared_limit.window.most,
@@ -152,12 +167,7 @@
             pacing.WINDOW_CUT_FACTOR,
         )
         self.calls: list[Call[Endpoint]] = []
-        self.failure_score, self.failed_at, self.consecutive_failures, self.first_failure_sent_at = (
-            0.0,
-            0,
-            0,
-            0,
-        )
+        self.failure_score, self.failed_at, self.consecutive_failures, self.first_failure_at = 0.0, 0, 0, 0
         self.usual = RunningMean(LATENCY_SMOOTHING_FACTOR)
         self.idle_connections: list[int] = []
         self.answered_at = 0
@@ -165,63 +175,75 @@
 
     @property
     def stride(self) -> float:
-        """How far apart its turns lie: one with half a share has half as many."""
+        """Distance between two turns: an endpoint with half the share has half as many turns."""
         return 1 / (self.share or 1.0)
 
     def even_share_rate(self) -> float:
-        """An even part of what the destination takes, in calls a second of all forwarders."""
+        """Return an even share of the destination's rate, in calls per second of all senders."""
         return self.shared_limit.weight / max(1, self.shared_limit.routes)
 
-    def rank(self, now: int, more: bool = False) -> float:
-        """Dialogue's balanced rank, with a preference for warm connections until one more is worth it. Among
-        many, failures weigh whole calls: with few in flight what is left of one had an endpoint shunned."""
-        recent = self.failure_score * math.exp(-(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US))
-        weight = FAILURE_PENALTY_CALLS * recent
-        cold = NEW_CONNECTION_PENALTY_CALLS if not (more or self.is_warm(now)) else 0.0
+    def rank(self, now: int, extra_connection: bool = False) -> float:
+        """Return Dialogue's balanced score: the lower, the better.
+
+        Warm connections are preferred unless an extra connection is worth opening. In a large fleet, failures
+        count as whole calls: with few calls in flight, the decayed rest of one failure would keep an endpoint
+        from being called at all.
+        """
+        recent_failures = self.failure_score * math.exp(
+            -(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US)
+        )
+        failure_penalty = FAILURE_PENALTY_CALLS * recent_failures
+        connection_penalty = (
+            NEW_CONNECTION_PENALTY_CALLS if not (extra_connection or self.is_warm(now)) else 0.0
+        )
         return (
             len(self.calls)
-            + (round(weight) if self.settings.replicas >= LARGE_FLEET_SENDERS else weight)
-            + cold
+            + (round(failure_penalty) if self.settings.replicas >= LARGE_FLEET_SENDERS else failure_penalty)
+            + connection_penalty
         )
 
     def is_warm(self, now: int) -> bool:
-        """Whether a call may go on a connection that is there; so may one to an endpoint that was drawn."""
+        """Return whether a call can use an open connection. Preferred endpoints count as warm."""
         idle = self.idle_connections and now - self.idle_connections[-1] < self.settings.keepalive_us
         return bool(idle) or self.shares_connection() or self.preferred
 
     def latency(self, now: int) -> float:
-        """Its usual answer time, or for how long its oldest call is out, if that is longer."""
+        """Return the mean answer time, or the age of the oldest call in flight if that is longer."""
         return max(self.usual.mean, float(now - self.calls[0].sent_at) if self.calls else 0.0)
 
     def shares_connection(self) -> bool:
-        """Whether a connection that is in use has room for the next call."""
+        """Return whether a connection in use has room for the next call."""
         return len(self.calls) % self.settings.streams_per_conn > 0
 
     def silence_timeout_us(self) -> float:
-        """How long a call may be out before that is a symptom."""
+        """Return how long a call may stay unanswered before that is a symptom of an outage."""
         mean = self.usual.mean
-        usual = max(mean * SILENCE_MEAN_FACTOR, mean + SILENCE_DEVIATION_FACTOR * self.usual.deviation)
-        return max(self.min_silence_us, usual) if usual else self.min_silence_us / MIN_SILENCE_AIM_FACTOR
+        typical_us = max(mean * SILENCE_MEAN_FACTOR, mean + SILENCE_DEVIATION_FACTOR * self.usual.deviation)
+        return (
+            max(self.min_silence_us, typical_us)
+            if typical_us
+            else self.min_silence_us / MIN_SILENCE_AIM_FACTOR
+        )
 
     def silence_due_at(self) -> int:
-        """When silence is a symptom; later with one call out, which may just be a long one."""
+        """Return when silence becomes a symptom; later for a single call, which may just take long."""
         if not self.calls or self.answered_at > self.calls[0].sent_at:
             return NEVER
-        alone = SINGLE_CALL_SILENCE_FACTOR if len(self.calls) == 1 else 1.0
-        return self.calls[0].sent_at + math.ceil(self.silence_timeout_us() * alone)
+        factor = SINGLE_CALL_SILENCE_FACTOR if len(self.calls) == 1 else 1.0
+        return self.calls[0].sent_at + math.ceil(self.silence_timeout_us() * factor)
 
     def record_failure(self, now: int, sent_at: int) -> None:
-        """A call failed: weigh it in the rank, and count it in the row."""
+        """Record a failed call in the score and in the number of consecutive failures."""
         self.failure_score = 1 + self.failure_score * math.exp(
             -(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US)
         )
         self.failed_at = now
         self.consecutive_failures += 1
-        self.first_failure_sent_at = sent_at if self.consecutive_failures == 1 else self.first_failure_sent_at
+        self.first_failure_at = sent_at if self.consecutive_failures == 1 else self.first_failure_at
         self.failure_confirmed = True
 
     def record_success(self, now: int, latency: int) -> None:
-        """A call was answered: learn the usual time."""
+        """Record an answered call and its answer time."""
         self.consecutive_failures, self.answered_at = 0, now
         self.usual.add(latency)
 
@@ -230,17 +252,17 @@
 
 
 class Forwarder(ForwarderState[Endpoint, SharedLimit]):
-    """The decisions of one forwarder. It knows its settings and its own events, and nothing else."""
+    """The decisions of one sender, based on its settings and its own events only."""
 
     @property
     def is_large_fleet(self) -> bool:
-        """Whether each forwarder sees little of an endpoint."""
+        """Whether each sender sees few calls of an endpoint."""
         return self.settings.replicas >= LARGE_FLEET_SENDERS
 
     def decide(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Take in what happened, and say what to do about it."""
+        """Process the events of a round and return the resulting actions."""
         if events and all(isinstance(e, TimerFired) and e.token != self.token for e in events):
-            return []  # timers overtaken by a sooner one: nothing is due before the one that is armed
+            return []  # only timers replaced by an earlier one: nothing is due before the armed timer
         self.now, self.actions = now_us, []
         for event in events:
             match event:
@@ -274,29 +296,29 @@
         return self.actions
 
     def apply_note(self, event: NoteReceived) -> None:
-        """What another forwarder has seen: it slows this one down, or takes the place of a trial."""
-        for what, number, value in self.gossip.receive(event.peer, event.note, self.now):
-            if what is FactKind.BACK and (back := self.endpoints_by_digest.get(number)) is not None:
-                waits = back.out_since is not None or back.suspected
-                if waits and self.now - back.failed_at > value * WAIT_UNIT_US:
-                    self.declare_recovered(back, f"sender {event.peer} was answered")
-            known = self.destinations[number] if number in self.destinations else Destination()
-            for endpoint in known.endpoints.values():
-                if what is FactKind.SHORT:
+        """Apply what another sender reports: it slows this sender down, or stands in for a trial call."""
+        for kind, subject, value in self.gossip.receive(event.peer, event.note, self.now):
+            if kind is FactKind.BACK and (returned := self.endpoints_by_digest.get(subject)) is not None:
+                awaited = returned.out_since is not None or returned.suspected
+                if awaited and self.now - returned.failed_at > value * WAIT_UNIT_US:
+                    self.declare_recovered(returned, f"answered sender {event.peer}")
+            destination = self.destinations[subject] if subject in self.destinations else Destination()
+            for endpoint in destination.endpoints.values():
+                if kind is FactKind.SHORT:
                     self.connection_reuse.record_shortage(endpoint.kind, self.now)
                     self.recently_answered |= {
                         e: None for e in self.endpoints.values() if e.kind == endpoint.kind
                     }
                 elif (
-                    what is FactKind.REFUSED
+                    kind is FactKind.REFUSED
                     and not self.settings.kinds.get(endpoint.kind, DestinationKind()).apart
                 ):
                     endpoint.shared_limit.record_heard_refusal(self.now, self.gossip.wait_us(value), self.rng)
                     self.begin_cold_after_wait(endpoint, self.gossip.wait_us(value))
-            self.mark_changed(number)
+            self.mark_changed(subject)
 
     def accept(self, event: Accept) -> None:
-        """Take a message in."""
+        """Accept a message."""
         if (cls := self.settings.classes.get(event.cls)) is None:
             raise ValueError(f"cls: unknown class {event.cls!r}")
         message = self.messages[event.ref] = Message(event, cls, self.now, self.tenant_share(event.tenant))
@@ -310,99 +332,105 @@
         self.hold_message(message)
 
     def hold_message(self, message: Message) -> None:
-        """Hold a message for its destination, until its time is up or it may go no more."""
+        """Hold a message for its destination until it expires or may not be sent again."""
         destination = self.waiting[message.dest] = self.destinations[message.dest]
-        turn = message.key is None or self.keys[message.key].in_turn(message, self.now)
-        destination.held.add(message, message.group_for(turn))
+        in_turn = message.key is None or self.keys[message.key].in_turn(message, self.now)
+        destination.held.add(message, message.group_for(in_turn))
         self.mark_changed(message.dest)
-        lapse = message.deadline
+        expires_at = message.deadline
         if message.first_attempt_at is not None and message.cls.effect is Effect.KEYED:
-            lapse = min(lapse, message.first_attempt_at + message.cls.key_ttl_us)
-        self.expiries.set(message.ref, self.now if self.cannot_be_sent_again(message) else lapse)
+            expires_at = min(expires_at, message.first_attempt_at + message.cls.key_ttl_us)
+        self.expiries.set(message.ref, self.now if self.cannot_be_sent_again(message) else expires_at)
 
     def update_endpoint_list(self, event: EndpointListUpdate) -> None:
-        """Follow the list; an endpoint that drains or is gone gets nothing new from this moment on."""
+        """Apply an endpoint list update. Draining and removed endpoints get no new calls from now on."""
         if event.scope is UpdateScope.FAILED:
             return self.actions.extend(map(LogLine, self.list_watch.failed(self.now, self.rng)))
         self.actions += map(LogLine, self.list_watch.listed())
-        named = {m.target for m in event.entries}
+        listed_targets = {m.target for m in event.entries}
         if event.scope is UpdateScope.FULL:
             for endpoint in list(self.endpoints.values()):
-                if endpoint.target not in named:
+                if endpoint.target not in listed_targets:
                     self.unlist(endpoint)
-        for member in event.entries:
-            known = self.endpoints.get(member.target)
-            if member.status is not EndpointStatus.LISTED:
+        for entry in event.entries:
+            known = self.endpoints.get(entry.target)
+            if entry.status is not EndpointStatus.LISTED:
                 if known is not None:
                     self.unlist(known)
-            elif known is None or known.dest != member.dest:
-                if known is not None:  # moved: its old destination must send nothing there any more
+            elif known is None or known.dest != entry.dest:
+                if known is not None:  # moved: its old destination must not use it any more
                     self.unlist(known)
                     self.forget_endpoint(known)
-                destination = self.destinations[member.dest]
-                self.mark_changed(member.dest)
-                apart = self.settings.kinds.get(member.kind, DestinationKind()).apart
+                destination = self.destinations[entry.dest]
+                self.mark_changed(entry.dest)
+                apart = self.settings.kinds.get(entry.kind, DestinationKind()).apart
                 limit = (None if apart else destination.shared_limit) or SharedLimit(
-                    self.settings, member.weight, self.initial_rate(), self.now, self.initial_token()
+                    self.settings, entry.weight, self.initial_rate(), self.now, self.initial_token()
                 )
-                warm = self.is_large_fleet and any(
+                has_warm_sibling = self.is_large_fleet and any(
                     e.is_warm(self.now) for e in destination.endpoints.values()
                 )
-                drawn = warm and self.rng.random() * (len(destination.endpoints) + 1) < 1
-                behind = (destination.last_turn > 0) / max(1, len(destination.endpoints))  # the last called
-                turn = destination.last_turn + self.rng.random() * (1 + behind)
+                preferred = has_warm_sibling and self.rng.random() * (len(destination.endpoints) + 1) < 1
+                # As a share of a turn: the endpoint called last counts as passed.
+                passed_share = (destination.last_turn > 0) / max(1, len(destination.endpoints))
+                turn = destination.last_turn + self.rng.random() * (1 + passed_share)
                 destination.shared_limit, endpoint = (
                     limit,
-                    Endpoint(member, limit, self.settings, turn, drawn),
+                    Endpoint(entry, limit, self.settings, turn, preferred),
                 )
-                self.endpoints[member.target] = destination.endpoints[member.target] = endpoint
-                self.endpoints_by_digest[endpoint_digest(member.target)] = endpoint
+                self.endpoints[entry.target] = destination.endpoints[entry.target] = endpoint
+                self.endpoints_by_digest[endpoint_digest(entry.target)] = endpoint
                 self.restore_outage(endpoint)
                 limit.routes += 1
-                self.changed_lists.add(member.dest)
+                self.changed_lists.add(entry.dest)
             else:
                 known.listed = True
                 self.mark_changed(known.dest)
                 if not (known.shared_limit.rate_is_measured or known.shared_limit.reported_limit):
-                    known.shared_limit.weight = max(member.weight, 0.1)
+                    known.shared_limit.weight = max(entry.weight, 0.1)
                 if self.unlisted.pop(known.target, None) is not None:
                     known.shared_limit.routes += 1
                     self.changed_lists.add(known.dest)
-        priced = self.settings.zone and self.settings.crossing_price
-        for place in (self.destinations[n] for n in self.changed_lists if priced and n in self.destinations):
-            routes = [e for e in place.endpoints.values() if e.listed]
-            assign_shares(routes, self.settings.zone, self.settings.zones, place.last_turn)
+        zones_are_priced = self.settings.zone and self.settings.crossing_price
+        for changed in (
+            self.destinations[n] for n in self.changed_lists if zones_are_priced and n in self.destinations
+        ):
+            routes = [e for e in changed.endpoints.values() if e.listed]
+            assign_shares(routes, self.settings.zone, self.settings.zones, changed.last_turn)
         self.changed_lists.clear()
 
     def initial_token(self) -> float:
-        """Part of a paced call that is there at first. Many senders that start together begin apart."""
+        """Return the initial tokens of a paced limit: random in a large fleet, which may start at once."""
         return self.startup_rng.random() if self.is_large_fleet else 1.0
 
     def update_measured_rate(self, destination: Destination) -> None:
-        """With no rough rate told, this forwarder's own answered calls stand in, as if all had as many.
+        """Update the rate estimate of a destination whose rate is not configured.
 
-        Summed over forwarders that is what the destination took, however unevenly work comes: with own rate d
-        weight / crowd is d for one that calls often, else about one call in the age of its work. Outages and
-        slow starts do not count: what the destination took before is what it takes.
+        The estimate is the rate of this sender's own answered calls times the number of senders. Summed over
+        all senders this is what the destination answered, however unevenly the work is distributed: with the
+        own rate d, weight / active senders is d for a sender that calls often, and otherwise about one call
+        within the age of its oldest message. Outages and slow starts are excluded: the rate that a
+        destination answered before them is what it can take afterwards.
         """
         for endpoint in destination.endpoints.values():
-            limit = endpoint.shared_limit
+            shared_limit = endpoint.shared_limit
             if endpoint.out_since is not None or endpoint.ramp_from is not None:
-                limit.own_rate.at = self.now
-            elif limit.rate_is_measured:
-                limit.weight = max(
-                    limit.own_rate.rate(self.now, self.initial_rate()) * self.settings.replicas, 0.1
+                shared_limit.own_rate.at = self.now
+            elif shared_limit.rate_is_measured:
+                shared_limit.weight = max(
+                    shared_limit.own_rate.rate(self.now, self.initial_rate()) * self.settings.replicas, 0.1
                 )
 
     def outcome(self, event: Outcome) -> None:
-        """An attempt has ended: learn from the call once, then settle the message."""
+        """Handle the end of an attempt: evaluate its call once, then settle the message."""
         call, message = self.attempts.pop((event.ref, event.attempt_number), (None, None))
         if call is None or message is None:
             return
         message.attempts_out.discard(event.attempt_number)
         self.mark_changed(call.endpoint.dest)
-        told_until = self.now + event.wait_us + 1 if event.wait_us else 0  # any message may be told (h80106d)
-        call.endpoint.shared_limit.opens_at = max(call.endpoint.shared_limit.opens_at, told_until)
+        # Each message of a call may carry its own retry-after wait (h80106d).
+        wait_until = self.now + event.wait_us + 1 if event.wait_us else 0
+        call.endpoint.shared_limit.opens_at = max(call.endpoint.shared_limit.opens_at, wait_until)
         if event.limit:
             call.endpoint.shared_limit.record_reported_limit(event.limit)
         if not call.learned_from:
@@ -414,29 +442,27 @@
                 calls.remove(call)
             del self.calls[call]
             self.overdue_at.drop(call)
-            for kept in (self.overdue, self.trial_calls):
-                kept.pop(call, None)
+            for tracked in (self.overdue, self.trial_calls):
+                tracked.pop(call, None)
             if not (call.endpoint.listed or call.endpoint.calls):
                 self.removals.set(call.endpoint, self.now)
-            if event.result in (Result.OK, Result.ERROR, Result.FULL):  # the connection stays, idle
+            if event.result in (Result.OK, Result.ERROR, Result.FULL):  # the connection stays open and idle
                 call.endpoint.idle_connections = [
                     *call.endpoint.idle_connections[-int(call.endpoint.window.most) :],
                     self.now,
                 ]
                 self.recently_answered[call.endpoint] = None
         self.schedule_silence_check(call.endpoint)
-        maybe_ran = event.result not in (Result.OK, Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
-        if maybe_ran and (message.first_attempt_at is None or call.sent_at < message.first_attempt_at):
-            message.first_attempt_at, message.first_attempt_zone = (
-                call.sent_at,
-                call.endpoint.zone,
-            )  # a key lives from here
+        may_have_run = event.result not in (Result.OK, Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
+        if may_have_run and (message.first_attempt_at is None or call.sent_at < message.first_attempt_at):
+            # The lifetime of an idempotency key starts here.
+            message.first_attempt_at, message.first_attempt_zone = call.sent_at, call.endpoint.zone
         if message.key is not None:
-            line = self.keys[message.key]
-            line.attempts_out -= 1
+            key_queue = self.keys[message.key]
+            key_queue.attempts_out -= 1
             if event.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED) and self.settings.key_rest_us:
-                line.rest_until = self.now + self.settings.key_rest_us
-                self.key_rests.set(message.key, line.rest_until)
+                key_queue.rest_until = self.now + self.settings.key_rest_us
+                self.key_rests.set(message.key, key_queue.rest_until)
         if event.message_ended or event.result is Result.OK:
             self.end(message)
         elif message.ref in self.messages and not message.attempts_out:
@@ -445,7 +471,7 @@
             self.refresh_key(message.key)
 
     def close_idle(self) -> None:
-        """Close connections that will hardly be used again while they live."""
+        """Close connections that will hardly be used again within their keep-alive time."""
         for endpoint in self.recently_answered:
             if self.connection_reuse.is_rarely_reused(
                 endpoint.kind, endpoint.even_share_rate() / self.settings.replicas, self.now
@@ -460,11 +486,12 @@
             self.actions.append(Disconnect(endpoint.target))
 
     def learn_from_call(self, call: Call[Endpoint], event: Outcome) -> None:
-        """What the end of a call says of its endpoint and of its destination. One place for both windows."""
+        """Update the endpoint, its limit and the statistics from the result of a call.
+
+        Both concurrency windows, that of the endpoint and that of its limit, are updated here.
+        """
         endpoint, limit, kind, now = call.endpoint, call.endpoint.shared_limit, call.endpoint.kind, self.now
-        evidence = (
-            limit.weight / self.settings.replicas * OUTAGE_EVIDENCE_S
-        )  # own calls that there may have been
+        expected_calls = limit.weight / self.settings.replicas * OUTAGE_EVIDENCE_S  # of this sender
         if event.result in (Result.OK, Result.TIMEOUT):
             self.zone_latency.setdefault(endpoint.zone, RunningMean(LATENCY_SMOOTHING_FACTOR)).add(
                 event.latency_us
@@ -498,31 +525,31 @@
                 short = not event.wait_us and self.connection_reuse.record_refusal(
                     kind, call.new_connection, now
                 )
-                known = call.sent_at <= limit.last_refusal_at
-                self.gossip.record_refusal(endpoint.dest, event.wait_us, short, known, now)
-                taken_at = min((m.accepted_at for m in call.open_attempts.values()), default=now)
-                crowd, _ = self.active_senders(endpoint, taken_at)
-                limit.record_refusal(now, call.sent_at, event.wait_us, crowd, short, self.rng)
+                already_known = call.sent_at <= limit.last_refusal_at
+                self.gossip.record_refusal(endpoint.dest, event.wait_us, short, already_known, now)
+                accepted_at = min((m.accepted_at for m in call.open_attempts.values()), default=now)
+                senders, _ = self.active_senders(endpoint, accepted_at)
+                limit.record_refusal(now, call.sent_at, event.wait_us, senders, short, self.rng)
                 self.begin_cold_after_wait(endpoint, event.wait_us)
                 if limit.consecutive_refusals >= max(
                     OUTAGE_REFUSAL_COUNT, OUTAGE_REFUSALS_PER_SENDER * self.settings.replicas
                 ):
-                    self.declare_outage(endpoint, "refuses all", now)
+                    self.declare_outage(endpoint, "refuses all calls", now)
                 if endpoint.out_since is not None:
                     endpoint.failure_confirmed = True
             case Result.TIMEOUT | Result.RESET if call.idle_us > LEAST_US and (
-                evidence < 1 or endpoint.answered_at > call.sent_at
+                expected_calls < 1 or endpoint.answered_at > call.sent_at
             ):
-                # A connection dropped unseen while idle looks like this, where others are answered or own
-                # calls are too rare to tell. A new one tells more: a hang is noticed one call later.
+                # A connection that was dropped silently while idle fails like this. That is assumed where
+                # other calls are answered or own calls are too rare to tell. A new connection shows the
+                # difference: a hang is detected one call later.
                 self.connection_reuse.record_drop(kind, call.idle_us)
                 self.disconnect(endpoint)
-            case Result.CANCELLED if endpoint.out_since is not None:  # as good as a failure: it has hung
+            case Result.CANCELLED if endpoint.out_since is not None:  # counts as a failure: the call had hung
                 endpoint.failure_confirmed = True
             case Result.ERROR | Result.TIMEOUT | Result.RESET | Result.CONNECT_FAILED:
-                if (
-                    event.result is Result.CONNECT_FAILED and endpoint.consecutive_failures == 0
-                ):  # down, or no connection left
+                if event.result is Result.CONNECT_FAILED and endpoint.consecutive_failures == 0:
+                    # The endpoint is down or has no connection left.
                     self.connection_reuse.record_drop(kind)
                 endpoint.record_failure(now, call.sent_at)
                 endpoint.window.cut(now, call.sent_at)
@@ -530,132 +557,142 @@
                     limit.window.cut(now, call.sent_at)
                 else:
                     endpoint.idle_connections = []
-                if endpoint.consecutive_failures >= min(OUTAGE_FAILURE_COUNT, max(1, round(evidence))):
-                    self.declare_outage(endpoint, f"calls end as {event.result.value}", call.sent_at)
+                if endpoint.consecutive_failures >= min(OUTAGE_FAILURE_COUNT, max(1, round(expected_calls))):
+                    self.declare_outage(endpoint, f"calls end with {event.result.value}", call.sent_at)
 
     def endpoints_sharing_limit(self, endpoint: Endpoint) -> list[Endpoint]:
-        """The endpoints that share its limit, and so its outages, itself included."""
+        """Return the endpoints that share its limit, and therefore its outages, including itself."""
         others = self.destinations[endpoint.dest].endpoints.values()
         return [other for other in others if other.shared_limit is endpoint.shared_limit]
 
     def outage_confirmed(self, endpoint: Endpoint) -> bool:
-        """Whether a call has failed in the outage of its destination, which may just be slow otherwise."""
-        waiting = (
+        """Return whether a call failed in the outage of its destination, which may otherwise just be slow."""
+        affected = (
             e for e in self.endpoints_sharing_limit(endpoint) if e.out_since is not None or e.suspected
         )
-        return any(e.failure_confirmed for e in waiting)
+        return any(e.failure_confirmed for e in affected)
 
-    def declare_recovered(self, endpoint: Endpoint, why: str) -> None:
-        """It answers again, here or elsewhere: the slow start begins, for the destination as a whole.
+    def declare_recovered(self, endpoint: Endpoint, reason: str) -> None:
+        """End the outage of a destination because an endpoint answers again, here or at another sender.
 
-        Endpoints that were not called in the outage start slowly too: they were sent all that had waited.
+        The slow start includes endpoints that were not called during the outage. Otherwise they would receive
+        everything that is held.
         """
         group = self.endpoints_sharing_limit(endpoint)
-        proved = self.outage_confirmed(endpoint)
-        since = endpoint.began_at
+        confirmed = self.outage_confirmed(endpoint)
+        began_at = endpoint.began_at
         for other in group:
             if other.out_since is None and not other.suspected:
-                continue  # it starts slowly already, or has answered meanwhile
-            cause = why if other is endpoint else f"{endpoint.target} is back"
-            other.end_outage(self.now, proved, self.rng)
+                continue  # already in a slow start, or answered in the meantime
+            cause = reason if other is endpoint else f"{endpoint.target} answers again"
+            other.end_outage(self.now, confirmed, self.rng)
             self.schedule_silence_check(other)
-            start = "slow start" if proved else "no slow start, no call had failed"
+            start_text = "slow start" if confirmed else "no slow start because no call failed"
             self.actions.append(
                 LogLine(
-                    f"{other.target}: {cause}, {start}; destination {other.dest}, out for "
-                    f"{(self.now - since) / SECOND_US:.1f} s, {other.trials_sent} trials, "
+                    f"{other.target}: {cause}, {start_text}; destination {other.dest}, out for "
+                    f"{(self.now - began_at) / SECOND_US:.1f} s, {other.trials_sent} trial calls, "
                     f"{self.share_text(other)}"
                 )
             )
         self.mark_changed(endpoint.dest)
 
     def suspect_siblings(self, endpoint: Endpoint) -> None:
-        """An endpoint is out, and an outage mostly takes all of a destination: siblings without an answer
-        since then are called as if cold, until they answer. They had got all that waited, as they came back.
+        """Suspect the siblings of a failed endpoint, as an outage usually affects a whole destination.
+
+        Siblings without an answer since the first failure are called as if cold until they answer. Otherwise
+        they would receive everything that is held at the moment they return.
         """
         for other in self.endpoints_sharing_limit(endpoint):
-            sound = other.answered_at > endpoint.first_failure_sent_at
-            if not sound and not other.is_recovering(self.now):
+            answered_since = other.answered_at > endpoint.first_failure_at
+            if not answered_since and not other.is_recovering(self.now):
                 other.begin_suspicion(self.now, self.rng)
                 self.recovering[other] = None
 
     def begin_cold_after_wait(self, endpoint: Endpoint, wait_us: int) -> None:
-        """After a wait longer than any limit needs, it comes back cold, to all whom it has told at once."""
+        """Start a slow start after a retry-after wait that is longer than a rate limit needs.
+
+        The destination returns cold then, and to all senders that were given such a wait at once.
+        """
         if wait_us >= self.settings.fall_us:
             for other in self.endpoints_sharing_limit(endpoint):
                 other.begin_cold(self.now, other.shared_limit.opens_at, self.rng)
                 self.recovering[other] = None
 
-    def declare_outage(self, endpoint: Endpoint, why: str, since: int) -> None:
-        """Judge an endpoint to be in an outage: only spaced trials from now on."""
+    def declare_outage(self, endpoint: Endpoint, reason: str, since: int) -> None:
+        """Declare an outage of an endpoint: from now on it gets spaced trial calls only."""
         if endpoint.out_since is None:
             endpoint.begin_outage(self.now, since, self.rng)
             self.recovering[endpoint] = None
             endpoint.failure_confirmed = endpoint.consecutive_failures > 0
             if endpoint.consecutive_failures == 0:
-                endpoint.first_failure_sent_at = since
+                endpoint.first_failure_at = since
             self.suspect_siblings(endpoint)
             self.mark_changed(endpoint.dest)
             next_s = (endpoint.next_send_at(self.now, None) - self.now) / SECOND_US
             self.actions.append(
                 LogLine(
-                    f"{endpoint.target}: out, {why}; destination {endpoint.dest}, "
-                    f"next trial in {next_s:.1f} s, {self.share_text(endpoint)}"
+                    f"{endpoint.target}: outage, {reason}; destination {endpoint.dest}, "
+                    f"next trial call in {next_s:.1f} s, {self.share_text(endpoint)}"
                 )
             )
 
     def share_text(self, endpoint: Endpoint) -> str:
-        """For the log: with how many senders a cold endpoint's budget is shared, and how that is known."""
-        crowd, heard = self.active_senders(endpoint, self.now)
-        if not (heard and self.gossip.informed(self.now)):
-            return f"shared evenly by {self.settings.replicas} senders"
-        return f"shared with {crowd - 1:.1f} of {self.settings.replicas - 1} others as heard"
+        """Describe how many senders share the budget of a cold endpoint, and how that is known."""
+        senders, from_gossip = self.active_senders(endpoint, self.now)
+        if not (from_gossip and self.gossip.informed(self.now)):
+            return f"budget shared evenly by {self.settings.replicas} senders"
+        return (
+            f"budget shared with {senders - 1:.1f} of {self.settings.replicas - 1} other senders, by gossip"
+        )
 
     def outages(self, now: int) -> tuple[Outage, ...]:
-        """What is known of endpoints that are out or cold, for the next process."""
+        """Return what is known of endpoints in an outage or slow start, for the next process."""
         for endpoint in list(self.recovering):
             if self.endpoints.get(endpoint.target) is not endpoint or not endpoint.is_recovering(now):
                 del self.recovering[endpoint]
         return tuple(endpoint.to_outage(endpoint.target) for endpoint in self.recovering)
 
     def restore_outages(self, event: OutagesRestored) -> None:
-        """Take over what the process before this one knew, also of endpoints that are not listed yet.
+        """Restore the outages known to the previous process, including those of endpoints not listed yet.
 
-        Answers restarts in an outage: each process called at once, and that of a whole fleet is more than an
-        endpoint bears that comes back meanwhile.
+        Without this, each process that restarts during an outage calls at once. The calls of a whole fleet
+        exceed what an endpoint can take that returns at that time.
         """
         self.remember_outages(event.outages)
         for endpoint in [self.endpoints[target] for target in self.known_outages if target in self.endpoints]:
             self.restore_outage(endpoint)
 
     def restore_outage(self, endpoint: Endpoint) -> None:
-        """An endpoint is listed of which an outage may be known, from before a restart or off the list."""
+        """Restore the outage of a listed endpoint if one is known from before a restart or its removal."""
         outage, until = self.known_outages.pop(endpoint.target, (None, 0))
         if outage is not None and self.now < until:
             endpoint.restore(self.now, outage, self.rng)
             self.recovering[endpoint] = None
             self.actions.append(
                 LogLine(
-                    f"{endpoint.target}: {'out' if outage.back_at is None else 'cold'} "
-                    f"as it was known before; destination {endpoint.dest}, {self.share_text(endpoint)}"
+                    f"{endpoint.target}: {'outage' if outage.back_at is None else 'slow start'} "
+                    f"known from before; destination {endpoint.dest}, {self.share_text(endpoint)}"
                 )
             )
 
     def detect_silence(self) -> None:
-        """Calls out far beyond the usual time, with no later answer, mean an outage before any time-out."""
+        """Declare an outage for calls that are overdue without a later answer, before their time-out."""
         for endpoint in self.silence_checks.due(self.now):
             if endpoint.out_since is None and self.now >= endpoint.silence_due_at():
                 endpoint.window.cut(self.now, endpoint.calls[0].sent_at)
-                self.declare_outage(endpoint, "silent", endpoint.calls[0].sent_at)
+                self.declare_outage(
+                    endpoint, "silent, no answer within the usual time", endpoint.calls[0].sent_at
+                )
         for call in self.overdue_at.due(self.now):
-            if (lapse := call.sent_at + int(call.endpoint.silence_timeout_us()) + 1) > self.now:
-                self.overdue_at.set(call, lapse)  # the usual time has grown meanwhile
+            if (overdue_at := call.sent_at + int(call.endpoint.silence_timeout_us()) + 1) > self.now:
+                self.overdue_at.set(call, overdue_at)  # the mean answer time has grown in the meantime
                 continue
             self.overdue[call] = None
-            self.mark_changed(call.endpoint.dest)  # it may hold no permit any more
+            self.mark_changed(call.endpoint.dest)  # the call may no longer hold a permit
 
     def schedule_silence_check(self, endpoint: Endpoint) -> None:
-        """Its calls or its usual time have changed: note when silence will be a symptom."""
+        """Schedule the next silence check after a change of the calls or the answer times."""
         if endpoint.out_since is None and (at := endpoint.silence_due_at()) < NEVER:
             self.silence_checks.set(endpoint, at)
         else:
@@ -666,17 +703,17 @@
             )
 
     def cannot_be_sent_again(self, message: Message) -> bool:
-        """The one place that decides whether a message may go again (True: never)."""
-        effect, ran_at = message.cls.effect, message.first_attempt_at
-        repeat = (
-            ran_at is None
+        """Return whether a message may not be sent again. The only place that decides this."""
+        effect, first_attempt_at = message.cls.effect, message.first_attempt_at
+        repeatable = (
+            first_attempt_at is None
             or effect is Effect.SAFE
-            or (effect is Effect.KEYED and self.now < ran_at + message.cls.key_ttl_us)
+            or (effect is Effect.KEYED and self.now < first_attempt_at + message.cls.key_ttl_us)
         )
-        return message.attempts_made >= self.settings.try_limit or not repeat
+        return message.attempts_made >= self.settings.try_limit or not repeatable
 
     def sendable_at(self, endpoint: Endpoint) -> int:
-        """The one place that decides whether, and when, an endpoint may be sent to."""
+        """Return when an endpoint may be called. The only place that decides whether and when."""
         limit, now = endpoint.shared_limit, self.now
         if not endpoint.listed or limit.opens_at > now:
             return limit.opens_at if endpoint.listed else NEVER
@@ -693,112 +730,124 @@
             or is_window_full(endpoint.window, endpoint.calls, now)
             or (endpoint.suspected and endpoint.calls)
         ):
-            lapse = (c.sent_at + int(c.endpoint.silence_timeout_us()) + 1 for c in limit.calls)
-            return min((at for at in lapse if at > now), default=NEVER)
-        crowd, heard = self.active_senders(endpoint, self.destinations[endpoint.dest].held.since)
-        informed = heard and self.gossip.informed(now)
+            overdue_times = (c.sent_at + int(c.endpoint.silence_timeout_us()) + 1 for c in limit.calls)
+            return min((at for at in overdue_times if at > now), default=NEVER)
+        senders, from_gossip = self.active_senders(endpoint, self.destinations[endpoint.dest].held.since)
+        informed = from_gossip and self.gossip.informed(now)
         return max(
-            limit.next_token_at(now, crowd, heard), endpoint.next_send_at(now, crowd if informed else None)
+            limit.next_token_at(now, senders, from_gossip),
+            endpoint.next_send_at(now, senders if informed else None),
         )
 
     def active_senders(self, endpoint: Endpoint, since: int) -> tuple[float, bool]:
-        """By how many a pace is shared, and whether that has been heard from them or is a guess."""
+        """Return how many senders share a pace, and whether gossip tells that (else it is an estimate)."""
         held = len(self.destinations[endpoint.dest].held)
-        guess = endpoint.shared_limit.active_senders(self.now - since)
-        heard = self.gossip.active_senders(endpoint.dest, held, self.now, guess)
-        if (
-            endpoint.shared_limit.gossip_is_partial
-        ):  # guessed to have a message each, where this one has so many
-            guess = max(1.0, guess / max(1, held))
-        return heard or guess, heard is not None
+        estimate = endpoint.shared_limit.active_senders(self.now - since)
+        reported = self.gossip.active_senders(endpoint.dest, held, self.now, estimate)
+        if endpoint.shared_limit.gossip_is_partial:
+            # The estimate assumes one message at each other sender, while this one holds several.
+            estimate = max(1.0, estimate / max(1, held))
+        return reported or estimate, reported is not None
 
     def pick_next(self, destination: Destination) -> None:
-        """The one place that picks the next message of a destination, and its route.
+        """Pick the next message of a destination and its endpoint. The only place that does so.
 
-        Among messages of a sort the urgency turns at a few deadlines only, and the most urgent stands beside
-        one of those: a hold of thousands costs no more than one of a dozen.
+        Within a message group, urgency changes direction at a few deadlines only, and the most urgent message
+        is next to one of these. So thousands of held messages cost no more than a dozen.
         """
         now, destination.choice = self.now, None
-        opens = [(self.sendable_at(e), e) for e in destination.endpoints.values()]
-        destination.opens_at = min((at for at, _ in opens if at > now), default=NEVER)
-        routes = [e for at, e in opens if at <= now]
+        openings = [(self.sendable_at(e), e) for e in destination.endpoints.values()]
+        destination.opens_at = min((at for at, _ in openings if at > now), default=NEVER)
+        routes = [e for at, e in openings if at <= now]
         if len(routes) > 1:
-            seen = ((e.latency(now), e.usual.error() * self.is_large_fleet) for e in routes if e.usual.mean)
-            quick = min(seen, key=sum, default=(1.0, 0.0))
+            latencies = (
+                (e.latency(now), e.usual.error() * self.is_large_fleet) for e in routes if e.usual.mean
+            )
+            fastest = min(latencies, key=sum, default=(1.0, 0.0))
             for passed in (e for e in routes if e.turn <= destination.last_turn):
                 passed.turn = destination.last_turn + self.rng.random() * passed.stride
-            more = self.is_large_fleet and (
+            extra_connection = self.is_large_fleet and (
                 sum(e.is_warm(now) for e in routes) + 1
             ) * CALLS_PER_EXTRA_CONNECTION * SECOND_US <= (destination.rate * self.settings.keepalive_us)
-            routes.sort(key=lambda e: (e.rank(now, more) + self.route_penalty(e, quick), e.turn))
+            routes.sort(
+                key=lambda e: (e.rank(now, extra_connection) + self.route_penalty(e, fastest), e.turn)
+            )
         drain_us = self.drain_us(destination) if routes else 0
         best: tuple[int, float] | None = None
-        for cls, zone, line in destination.held.sendable() if routes else ():
+        for cls, zone, messages in destination.held.sendable() if routes else ():
             if (route := next((e for e in routes if zone in ("", e.zone)), None)) is None:
                 continue
-            trial = 0 if route.out_since is None else TRIAL_EFFECT_ORDER.index(cls.effect)
-            answer, late = now + int(route.usual.mean), now + self.expected_refusal_us(route)
-            for message in line.around(urgency_breakpoints(cls, answer, drain_us, self.settings.halves)):
-                if message.deadline <= late:
-                    continue  # given up with its answer on the way, it hears no wait that this tells
-                key = trial, self.urgency(message, answer, drain_us)
+            trial_order = 0 if route.out_since is None else TRIAL_EFFECT_ORDER.index(cls.effect)
+            answer_at, refusal_at = now + int(route.usual.mean), now + self.expected_refusal_us(route)
+            for message in messages.around(
+                urgency_breakpoints(cls, answer_at, drain_us, self.settings.halves)
+            ):
+                if message.deadline <= refusal_at:
+                    # The message would end while the refusal is on its way, and its retry-after wait would be
+                    # lost.
+                    continue
+                key = trial_order, self.urgency(message, answer_at, drain_us)
                 if best is None or key > best:
                     best, destination.choice = key, (key[1], message, route)
 
     def expected_refusal_us(self, endpoint: Endpoint) -> float:
-        """Within how long a refusal from there has come, as a rule. A delivery takes longer."""
-        usual = self.refusal_latency.get(endpoint.zone)
-        return min(usual.mean + REFUSAL_DEVIATION_FACTOR * usual.deviation, MAX_REFUSAL_US) if usual else 0.0
+        """Return the time within which refusals from the endpoint's zone usually arrive."""
+        times = self.refusal_latency.get(endpoint.zone)
+        return min(times.mean + REFUSAL_DEVIATION_FACTOR * times.deviation, MAX_REFUSAL_US) if times else 0.0
+
+    def route_penalty(self, endpoint: Endpoint, fastest: tuple[float, float]) -> float:
+        """Return what counts against an endpoint besides its rank, in in-flight calls.
 
-    def route_penalty(self, endpoint: Endpoint, quick: tuple[float, float]) -> float:
-        """What speaks against a route beside its calls, as calls in flight: its fee, its answer time against
-        the quickest route's, and its zone's against the quickest zone's.
+        This is its fee, its answer time compared with the fastest endpoint, and the answer time of its zone
+        compared with the fastest zone.
 
-        Answers zones that are far or have turned slow: a forwarder that calls each endpoint rarely learns it
-        from the others there. It hurts where one slow destination makes up most of a zone's calls.
+        The zones matter because a sender that calls each endpoint rarely can learn about a far or slow zone
+        only from the other endpoints there. The comparison is wrong where one slow destination gets most
+        calls of a zone.
         """
         apart = self.settings.kinds.get(endpoint.kind, DestinationKind()).apart
-        against = ZONE_FEE_PENALTY_CALLS * self.settings.zone_fees.get(endpoint.zone, 0.0) if apart else 0.0
+        penalty = ZONE_FEE_PENALTY_CALLS * self.settings.zone_fees.get(endpoint.zone, 0.0) if apart else 0.0
         if not endpoint.share:
-            against += CROSSING_PENALTY_CALLS * self.settings.crossing_price
+            penalty += CROSSING_PENALTY_CALLS * self.settings.crossing_price
         if endpoint.usual.mean:
-            usual = endpoint.latency(self.now), endpoint.usual.error()
-            against += SLOWNESS_PENALTY_CALLS * latency_excess(
-                usual, quick, ENDPOINT_TOLERANCE_ERRORS * self.is_large_fleet
+            latency = endpoint.latency(self.now), endpoint.usual.error()
+            penalty += SLOWNESS_PENALTY_CALLS * latency_excess(
+                latency, fastest, ENDPOINT_TOLERANCE_ERRORS * self.is_large_fleet
             )
         zones = {
             name: (zone.mean, zone.error() * self.is_large_fleet) for name, zone in self.zone_latency.items()
         }
-        near = min(zones.values(), key=sum, default=(1.0, 0.0))
-        scarce = (
-            1 + FULL_SLOTS_ZONE_FACTOR * len(self.calls) / self.settings.slots
-        )  # a far call keeps its slot longer
+        fastest_zone = min(zones.values(), key=sum, default=(1.0, 0.0))
+        # A call to a far zone keeps its slot longer.
+        scarcity = 1 + FULL_SLOTS_ZONE_FACTOR * len(self.calls) / self.settings.slots
         return (
-            against
+            penalty
             + latency_excess(
-                zones.get(endpoint.zone, near), near, ZONE_TOLERANCE_ERRORS * self.is_large_fleet
+                zones.get(endpoint.zone, fastest_zone),
+                fastest_zone,
+                ZONE_TOLERANCE_ERRORS * self.is_large_fleet,
             )
-            * scarce
+            * scarcity
         )
 
     def drain_us(self, destination: Destination) -> int:
-        """How long the hold of a destination needs to drain, as its limits and its other senders stand."""
+        """Estimate how long the held messages need to drain at the rates of the limits and active senders."""
         since, routes = destination.held.since, destination.endpoints.values()
         rate = sum(
             (e.shared_limit.pace or e.even_share_rate()) / self.active_senders(e, since)[0] for e in routes
         )
         return int(min(max(MIN_DRAIN_S, len(destination.held) / max(rate, 0.1)), MAX_DRAIN_S) * SECOND_US)
 
-    def urgency(self, message: Message, answer: int, drain_us: int) -> float:
-        """Worth lost if this message waits for the time that the hold needs to drain."""
+    def urgency(self, message: Message, answer_at: int, drain_us: int) -> float:
+        """Return the worth lost if a message waits as long as the held messages need to drain."""
         halves = self.settings.halves
-        now_worth = message.value(answer, halves)
-        loss = now_worth - message.value(answer + drain_us, halves)
+        worth_now = message.value(answer_at, halves)
+        loss = worth_now - message.value(answer_at + drain_us, halves)
         age = 1 - (message.deadline - self.now) / message.cls.deadline_us
-        return loss + 0.1 * now_worth * (1 + age)
+        return loss + 0.1 * worth_now * (1 + age)
 
     def refresh_pick(self, number: int) -> None:
-        """Pick at a destination anew, and rank it among those that are ready."""
+        """Refresh the pick of a destination and its position among the ready destinations."""
         if (destination := self.waiting.get(number)) is None:
             self.ready.drop(number)
             self.openings.drop(number)
@@ -812,54 +861,61 @@
             self.openings.drop(number)
 
     def dispatch(self) -> None:
-        """Send while slots and permits last, the most urgent message of all destinations first."""
+        """Send while slots and permits are available, the most urgent message of all destinations first."""
         if len(self.calls) >= self.settings.slots and not self.overdue:
-            return  # nothing can go, and no call is out for so long that it may be called off
+            return  # no slot is free, and no call is overdue enough to be cancelled
         for number in dict.fromkeys(
             [*islice(self.changed, MAX_CHANGED_PER_ROUND), *self.openings.due(self.now)]
         ):
             self.changed.pop(number, None)
             self.refresh_pick(number)
-        stale = (
-            self.now - PICK_VALIDITY_US
-        )  # urgencies drift: the first picks and those in turn are looked at anew
-        self.ready.refresh(stale, STALE_REFRESH_COUNT, self.refresh_pick)
+        # Urgencies change with time: the first and the oldest picks are refreshed.
+        stale_before = self.now - PICK_VALIDITY_US
+        self.ready.refresh(stale_before, STALE_REFRESH_COUNT, self.refresh_pick)
         while len(self.calls) < self.settings.slots:
-            if (first := self.ready.first_refreshed(stale, MAX_REFRESH_COUNT, self.refresh_pick)) is None:
+            if (
+                most_urgent := self.ready.first_refreshed(stale_before, MAX_REFRESH_COUNT, self.refresh_pick)
+            ) is None:
                 break
-            destination = self.destinations[first]
+            destination = self.destinations[most_urgent]
             if destination.choice is not None:
                 self.send(destination, *destination.choice[1:])
-            self.changed.pop(first, None)
-            self.refresh_pick(first)
+            self.changed.pop(most_urgent, None)
+            self.refresh_pick(most_urgent)
         self.cancel_stuck_calls()
 
     def cancel_stuck_calls(self) -> None:
-        """With every slot taken and others ready, call off what a silent endpoint has kept too long.
+        """Cancel overdue calls to silent endpoints while all slots are taken and other messages are ready.
 
-        Answers hung, silent and very slow destinations that starve the others of slots, and their trials. It
-        hurts where the late answers would have come: what may not go again elsewhere is given longer.
+        This keeps hanging, silent and very slow destinations, and their trial calls, from taking all slots.
+        The cost is a late answer that would have arrived: calls that may not be repeated elsewhere are given
+        longer.
         """
         now, stuck = self.now, list[tuple[bool, int, int, Call[Endpoint]]]()
         choices = (self.destinations[n].choice for n in self.ready) if self.overdue else ()
-        sound = (c for c in choices if c is not None and c[2].out_since is None)
-        wanted = sum(1 for _ in islice(sound, len(self.overdue)))
-        for call in (c for c in self.overdue if wanted and not c.cancelled):
+        healthy = (c for c in choices if c is not None and c[2].out_since is None)
+        wanted_slots = sum(1 for _ in islice(healthy, len(self.overdue)))
+        for call in (c for c in self.overdue if wanted_slots and not c.cancelled):
             unsafe = any(
                 m.cls.effect is Effect.UNSAFE or m.cls.same_zone for m in call.open_attempts.values()
             )
-            out, lost = call.endpoint.out_since is not None, call.endpoint.answered_at > call.sent_at
-            patience = call.endpoint.silence_timeout_us() * (UNSAFE_CANCEL_SILENCE_FACTOR if unsafe else 1)
-            if now - call.sent_at >= patience and (lost or out):
+            in_outage, answered_since = (
+                call.endpoint.out_since is not None,
+                call.endpoint.answered_at > call.sent_at,
+            )
+            allowed_us = call.endpoint.silence_timeout_us() * (UNSAFE_CANCEL_SILENCE_FACTOR if unsafe else 1)
+            if now - call.sent_at >= allowed_us and (answered_since or in_outage):
                 stuck.append((unsafe, call.sent_at, len(stuck), call))
-        for *_, call in sorted(stuck)[: wanted if self.settings.cancel else 0]:
+        for *_, call in sorted(stuck)[: wanted_slots if self.settings.cancel else 0]:
             call.cancelled = True
-            self.actions += [Cancel(ref, leg) for ref, leg in call.open_attempts]
+            self.actions += [Cancel(ref, attempt_number) for ref, attempt_number in call.open_attempts]
 
     def send(self, destination: Destination, first: Message, endpoint: Endpoint) -> None:
-        """Start one call, with as many messages as travel together."""
+        """Start a call with the given message and others that can travel with it."""
         trial, limit = endpoint.out_since is not None, endpoint.shared_limit
-        if self.is_large_fleet:  # each of few keeps its lot: they spread by it, and by what each sees of all
+        # In a small fleet each sender keeps its random order, which spreads the calls. There each sender sees
+        # many calls.
+        if self.is_large_fleet:
             destination.last_turn, endpoint.preferred = endpoint.turn, False
             endpoint.turn += endpoint.stride
         call = Call(endpoint, self.now, not endpoint.idle_connections and not endpoint.shares_connection())
@@ -877,42 +933,42 @@
         endpoint.calls.append(call)
         limit.calls.append(call)
         self.calls[call] = None
-        batch = 1 if trial else self.settings.kinds.get(endpoint.kind, DestinationKind()).batch
-        for message in self.take_batch(first, endpoint, destination, batch):
-            leg, message.attempts_made = message.attempts_made, message.attempts_made + 1
-            call.open_attempts[message.ref, leg] = message
-            message.attempts_out.add(leg)
-            self.attempts[message.ref, leg] = call, message
+        max_count = 1 if trial else self.settings.kinds.get(endpoint.kind, DestinationKind()).batch
+        for message in self.take_batch(first, endpoint, destination, max_count):
+            attempt_number, message.attempts_made = message.attempts_made, message.attempts_made + 1
+            call.open_attempts[message.ref, attempt_number] = message
+            message.attempts_out.add(attempt_number)
+            self.attempts[message.ref, attempt_number] = call, message
             if message.key is not None:
                 self.keys[message.key].attempts_out += 1
-            timeout = message.deadline - self.now
+            timeout_us = message.deadline - self.now
             if message.cls.effect is not Effect.UNSAFE:
-                timeout = min(timeout, int(endpoint.silence_timeout_us() * TIMEOUT_SILENCE_FACTOR))
-            self.actions.append(Send(message.ref, endpoint.target, max(1, timeout)))
+                timeout_us = min(timeout_us, int(endpoint.silence_timeout_us() * TIMEOUT_SILENCE_FACTOR))
+            self.actions.append(Send(message.ref, endpoint.target, max(1, timeout_us)))
         self.overdue_at.set(call, self.now + int(endpoint.silence_timeout_us()) + 1)
         self.schedule_silence_check(endpoint)
 
     def take_batch(
-        self, first: Message, endpoint: Endpoint, destination: Destination, most: int
+        self, first: Message, endpoint: Endpoint, destination: Destination, max_count: int
     ) -> list[Message]:
-        """What goes in one call, taken out of the hold: the choice, and the most urgent that may join it."""
-        taken, answer, drain_us = [first], self.now + int(endpoint.usual.mean), self.drain_us(destination)
+        """Release the messages of one call: the first one and the most urgent that may join it."""
+        taken, answer_at, drain_us = [first], self.now + int(endpoint.usual.mean), self.drain_us(destination)
         self.release(first)
-        while len(taken) < most and destination.held:
+        while len(taken) < max_count and destination.held:
             others = [
                 m
-                for cls, zone, line in destination.held.sendable()
+                for cls, zone, messages in destination.held.sendable()
                 if zone in ("", endpoint.zone)
-                for m in line.around(urgency_breakpoints(cls, answer, drain_us, self.settings.halves))
+                for m in messages.around(urgency_breakpoints(cls, answer_at, drain_us, self.settings.halves))
             ]
             if not others:
                 break
-            taken.append(max(others, key=lambda m: self.urgency(m, answer, drain_us)))
+            taken.append(max(others, key=lambda m: self.urgency(m, answer_at, drain_us)))
             self.release(taken[-1])
         return taken
 
     def expire(self) -> None:
-        """Answer what can be delivered no more: its time is up, or it may not go again."""
+        """End messages that cannot be delivered any more: expired, or not to be sent again."""
         for ref in self.expiries.due(self.now):
             if (message := self.messages.get(ref)) is None:
                 continue
@@ -924,7 +980,10 @@
                 self.expiries.set(ref, message.deadline)
 
     def shed(self) -> None:
-        """With the hold nearly full, refuse what may earn least; the door would turn away anything."""
+        """Refuse the least valuable messages while the sender is nearly full.
+
+        When it is full, new messages are refused whatever their worth.
+        """
         if len(self.messages) <= self.settings.most_held * SHED_START_SHARE:
             if len(self.messages) <= self.settings.most_held * SHED_END_SHARE:
                 self.shed_candidates.clear()
@@ -932,9 +991,9 @@
             return
         if not self.shed_candidates:
             self.changed_shed_candidates = dict.fromkeys(self.waiting)
-        for stirred in list(islice(self.changed_shed_candidates, MAX_WEIGHED_PER_ROUND)):
-            del self.changed_shed_candidates[stirred]
-            self.refresh_shed_candidate(stirred)
+        for changed in list(islice(self.changed_shed_candidates, MAX_WEIGHED_PER_ROUND)):
+            del self.changed_shed_candidates[changed]
+            self.refresh_shed_candidate(changed)
         while len(self.messages) > self.settings.most_held * SHED_START_SHARE:
             if (
                 number := self.shed_candidates.first_refreshed(
@@ -947,58 +1006,61 @@
             self.refresh_shed_candidate(number)
 
     def refresh_shed_candidate(self, number: int) -> None:
-        """Rank a destination by the message that it can spare best."""
+        """Refresh the position of a destination by its least valuable message."""
         if (destination := self.waiting.get(number)) is None or (
-            least := self.least_valuable(destination)
+            candidate := self.least_valuable(destination)
         ) is None:
             self.shed_candidates.drop(number)
             return
-        worth = least.value(self.now + self.drain_us(destination), self.settings.halves)
-        self.shed_candidates.set(number, (worth, -least.deadline, number), self.now)
+        worth = candidate.value(self.now + self.drain_us(destination), self.settings.halves)
+        self.shed_candidates.set(number, (worth, -candidate.deadline, number), self.now)
 
     def least_valuable(self, destination: Destination) -> Message | None:
-        """The held message that may earn least once the hold has drained; of equals the one with most time.
+        """Return the held message with the least worth once the others have drained.
 
-        In each sort that is the last one that will be too late by then, else the oldest that loses worth.
+        Of equal messages it is the one with the latest deadline. In each group the candidate is the last
+        message that will expire by then, else the oldest one that loses worth, else the last.
         """
-        drained, halves = self.now + self.drain_us(destination), self.settings.halves
-        spare = list[Message]()
-        for line in destination.held.refusable():
-            late, losing = line.before(drained), line[0].aim_at < drained
-            spare.append(line[late - 1] if late else line[0] if losing else line[-1])
-        return min(spare, key=lambda m: (m.value(drained, halves), -m.deadline), default=None)
+        drained_at, halves = self.now + self.drain_us(destination), self.settings.halves
+        candidates = list[Message]()
+        for messages in destination.held.refusable():
+            expired_count, losing = messages.before(drained_at), messages[0].aim_at < drained_at
+            candidates.append(
+                messages[expired_count - 1] if expired_count else messages[0] if losing else messages[-1]
+            )
+        return min(candidates, key=lambda m: (m.value(drained_at, halves), -m.deadline), default=None)
 
     def may_refuse(self, message: Message) -> bool:
-        """A refusal promises that coming again is safe."""
+        """Return whether a message may be refused: a refusal promises that a retry is safe."""
         cls = message.cls
         repeatable = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and not cls.same_zone)
         return not message.attempts_out and (message.first_attempt_at is None or repeatable)
 
     def give_up(self, message: Message) -> None:
-        """The final answer, at once: a refusal with a come-back time where that is safe, else a failure."""
+        """Send the final answer: a refusal with a retry-after time where a retry is safe, else a failure."""
         if self.may_refuse(message):
             endpoints = self.destinations[message.dest].endpoints.values()
-            wait = min((e.shared_limit.opens_at for e in endpoints), default=0) - self.now
+            wait_us = min((e.shared_limit.opens_at for e in endpoints), default=0) - self.now
             self.actions.append(
-                Refuse(message.ref, min(max(wait, SECOND_US), self.settings.max_come_back_us))
+                Refuse(message.ref, min(max(wait_us, SECOND_US), self.settings.max_come_back_us))
             )
         else:
             self.actions.append(Fail(message.ref))
         self.end(message)
 
     def arm_timer(self) -> None:
-        """Keep one timer armed for the next thing due."""
-        full = len(self.calls) >= self.settings.slots
-        agendas = (
+        """Keep one timer armed for the next event that is due."""
+        slots_full = len(self.calls) >= self.settings.slots
+        queues = (
             self.expiries,
             self.silence_checks,
             self.key_rests,
-            self.overdue_at if full else self.openings,
+            self.overdue_at if slots_full else self.openings,
         )
-        due = [self.list_watch.next_request_at, self.gossip.next_at()]
-        due += [at for a in agendas if (at := a.next_at()) is not None]
-        due += [self.now + 1] if self.changed and not full else []
-        soonest = min((t for t in due if t > self.now), default=NEVER)
-        if soonest < self.armed_at and soonest < NEVER:
-            self.token, self.armed_at = self.token + 1, soonest
-            self.actions.append(ArmTimer(soonest - self.now, self.token))
+        due_times = [self.list_watch.next_request_at, self.gossip.next_at()]
+        due_times += [at for a in queues if (at := a.next_at()) is not None]
+        due_times += [self.now + 1] if self.changed and not slots_full else []
+        earliest = min((t for t in due_times if t > self.now), default=NEVER)
+        if earliest < self.armed_at and earliest < NEVER:
+            self.token, self.armed_at = self.token + 1, earliest
+            self.actions.append(ArmTimer(earliest - self.now, self.token))
