--- a/rowanrack/model/variants.py
+++ b/rowanrack/model/variants.py
@@ -76,8 +76,8 @@
 def opened(text: str) -> Iterator[Variant]:
     """A variant from its text. Raises VariantError.
 
-    The text is `this`, overrides (`pacing.WINDOW_CUT_FACTOR=0.5,settings.slots=9`), a TOML file of them, the folder of a
-    checkout, or a git revision, which is checked out for as long as this lasts.
+    The text is `this`, overrides (`pacing.WINDOW_CUT_FACTOR=0.5,settings.slots=9`), a TOML file of them, the
+    folder of a checkout, or a git revision, which is checked out for as long as this lasts.
     """
     path = Path(text)
     if text == "this":
--- a/rowanspindle/pacing.py
+++ b/rowanspindle/pacing.py
@@ -91,7 +91,7 @@
             WINDOW_CUT_FACTOR,
         )
         self.calls: list[Call[Endpoint]] = []
-        # the number of listed endpoints that share it, and the limit reported by answers
+        # The number of listed endpoints that share it, and the limit reported by answers.
         self.routes, self.reported_limit = 0, 0.0
         self.opens_at, self.consecutive_refusals, self.last_refusal_at = 0, 0, -1
         # Calls per second of all senders while a limit is evident. It is set from the start if the limit is
--- a/rowanspindle/slow_start.py
+++ b/rowanspindle/slow_start.py
@@ -40,7 +40,7 @@
         self.ramp_bucket = TokenBucket(0.0)
         # The token bucket applies from this time on. An answer to a call sent earlier rules out an outage.
         self.grace_until = 0
-        # Trial calls of this outage and calls of the slow start after it, for the log
+        # Trial calls of this outage and calls of the slow start after it, for the log.
         self.trials_sent = self.cold_calls = 0
 
     def even_share_rate(self) -> float:
--- a/tests/test_measured.py
+++ b/tests/test_measured.py
@@ -1,4 +1,4 @@
-"""What stands in where no rough rates are told, and how connections and routes are used then."""
+"""Test the rate estimates used without configured rates, and the choice of connections and endpoints."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.helpers import SECOND_US, Caller, member
 
 
-def run_at(rate: float, seconds: float, **changes: object) -> Caller:
-    """A forwarder that sends so many calls a second, each answered at once."""
+def run_sender_at(rate: float, seconds: float, **changes: object) -> Caller:
+    """Run a sender that sends this many calls per second, each of which is answered at once."""
     caller = Caller(member("t1", weight=1.0), weights_told=False, **changes)
     for _ in range(int(rate * seconds)):
         caller.end(caller.accept())
@@ -21,17 +21,17 @@
 
 
 @pytest.mark.parametrize("replicas", [3, 300])
-def test_own_calls_stand_in_for_a_rate_that_is_not_told(replicas: int) -> None:
-    """The weight 1 of a list without weights was taken for one call a second of the whole destination."""
-    limit = run_at(4.0, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit
+def test_own_calls_give_the_rate_where_none_is_configured(replicas: int) -> None:
+    """Regression: the weight 1 of a list without weights was taken for one call per second in all."""
+    limit = run_sender_at(4.0, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit
     assert limit.weight == pytest.approx(4.0 * replicas, rel=0.15)
 
 
 @pytest.mark.parametrize("replicas", [3, 300])
-def test_parts_follow_uneven_demand_in_sum(replicas: int) -> None:
-    """One forwarder has nearly all the traffic: what all may send for long stays near what was taken."""
+def test_shares_of_uneven_demand_add_up_to_the_measured_rate(replicas: int) -> None:
+    """If one sender has nearly all the traffic, the long-term rate of all stays near the measured one."""
     busy, quiet = (
-        run_at(r, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit for r in (20.0, 0.1)
+        run_sender_at(r, 40.0, replicas=replicas).forwarder.endpoints["t1"].shared_limit for r in (20.0, 0.1)
     )
     age = 60 * SECOND_US
     total = busy.weight / busy.active_senders(age) + (replicas - 1) * quiet.weight / quiet.active_senders(age)
@@ -40,8 +40,8 @@
 
 
 def test_an_outage_does_not_count_against_the_measured_rate() -> None:
-    """What a destination took before its outage is what it takes after it, not the trials' trickle."""
-    caller = run_at(4.0, 20.0)
+    """A destination can take after an outage what it took before, not just the few trial calls."""
+    caller = run_sender_at(4.0, 20.0)
     endpoint = caller.forwarder.endpoints["t1"]
     before = endpoint.shared_limit.weight
     for _ in range(3):
@@ -60,20 +60,20 @@
     assert endpoint.shared_limit.weight > 0.8 * before
 
 
-def test_told_rates_are_used_as_they_are() -> None:
+def test_configured_rates_are_used_unchanged() -> None:
     caller = Caller(member("t1", weight=9.0))
     caller.accept()
     assert caller.forwarder.endpoints["t1"].shared_limit.weight == 9.0
 
 
 def test_rates_listed_again_do_not_replace_measured_ones() -> None:
-    caller = run_at(4.0, 40.0)
+    caller = run_sender_at(4.0, 40.0)
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t1", weight=1.0),)))
     assert caller.forwarder.endpoints["t1"].shared_limit.weight > 3
 
 
-def test_with_equal_ranks_the_fleet_spreads() -> None:
-    """Ties went to the first name: every forwarder used one endpoint of each destination."""
+def test_senders_spread_over_endpoints_of_equal_rank() -> None:
+    """Regression: ties went to the first name, so every sender used the same endpoint of each destination."""
     from random import Random
 
     from rowanspindle import Accept, DestinationKind, Forwarder, Settings
@@ -89,19 +89,19 @@
     assert used == {"t1", "t2"}
 
 
-def closes(caller: Caller) -> bool:
+def closes_a_connection(caller: Caller) -> bool:
     return any(isinstance(a, Disconnect) for _, a in caller.log)
 
 
-def test_connections_stay_until_failures_of_their_kind_show_full_tables() -> None:
-    """Closing after each rare call cost a handshake of half a second where one connection carries many."""
+def test_connections_stay_open_until_failures_of_their_kind_show_full_tables() -> None:
+    """Regression: closing after each rare call cost 0.5 s per handshake where connections are shared."""
     members = member("t1", weight=1.0), member("t2", dest=2, weight=1.0)
     caller = Caller(*members, replicas=50, streams_per_conn=8)
     caller.end(caller.accept())
-    assert not closes(caller)
+    assert not closes_a_connection(caller)
     caller.end(caller.accept(dest=2), Result.CONNECT_FAILED)
     caller.end(caller.accept())
-    assert closes(caller)
+    assert closes_a_connection(caller)
 
 
 def test_a_connection_in_use_with_room_is_not_closed_for_its_age() -> None:
@@ -113,8 +113,8 @@
     caller.end(first)
 
 
-def test_a_slow_zone_is_left_by_those_that_never_called_its_endpoints() -> None:
-    """A forwarder calls each endpoint rarely: the others of its zone must tell it (kingston overload)."""
+def test_slow_zone_is_avoided_for_endpoints_not_called_before() -> None:
+    """Regression (run kingston overload): rare calls to each endpoint hid that its zone was slow."""
     near = [member(f"n{d}", dest=d, zone="near") for d in range(8)]
     far = [member(f"f{d}", dest=d, zone="far") for d in range(8)]
     caller = Caller(*near, *far, replicas=100, streams_per_conn=8)
@@ -128,8 +128,8 @@
         assert caller.sends()[-1][1].target == f"n{dest}"
 
 
-def near_calls(others: int) -> int:
-    """How many calls go to the near zone before the first goes to one that answers in twice the time."""
+def count_near_calls(others: int) -> int:
+    """Count the calls to the near zone before the first to a zone that takes twice as long to answer."""
     caller = Caller(member("near", zone="z"), member("far", zone="y"), member("other", dest=2))
     for zone, us in ("z", 50_000.0), ("y", 100_000.0):
         usual = caller.forwarder.zone_latency[zone] = RunningMean(LATENCY_SMOOTHING_FACTOR)
@@ -145,27 +145,27 @@
 
 
 def test_a_far_zone_weighs_more_while_slots_are_scarce() -> None:
-    """With every slot taken, far calls kept the slots for which hundreds of messages waited."""
-    assert near_calls(others=0) <= 2
-    assert near_calls(others=6) >= 3
+    """Regression: with all slots taken, far calls kept slots for which hundreds of messages waited."""
+    assert count_near_calls(others=0) <= 2
+    assert count_near_calls(others=6) >= 3
 
 
-def test_a_told_limit_paces_before_any_refusal() -> None:
-    """Calls went as they came until a limit that each answer tells had refused a third of them (overload)."""
+def test_reported_limit_paces_calls_before_any_refusal() -> None:
+    """Regression (run overload): a limit reported by each answer paced no calls before refusing a third."""
     caller = Caller(member("t1", weight=40.0), replicas=4, weights_told=True, slots=60)
-    told = Caller(member("t1", weight=40.0), replicas=4, weights_told=True, slots=60)
-    for limit, one in ((None, caller), (4.0, told)):
-        for _ in range(10):  # the answers tell it, a few times
-            one.end(one.accept(), limit=limit)
-            one.wait(SECOND_US)
-        began = one.now
+    paced = Caller(member("t1", weight=40.0), replicas=4, weights_told=True, slots=60)
+    for limit, sender in ((None, caller), (4.0, paced)):
+        for _ in range(10):  # the answers report the limit several times
+            sender.end(sender.accept(), limit=limit)
+            sender.wait(SECOND_US)
+        began = sender.now
         for _ in range(20):
-            one.accept()
-            one.wait(SECOND_US // 20)
-        assert (len(one.sends(since=began)) > 5) is (limit is None)
+            sender.accept()
+            sender.wait(SECOND_US // 20)
+        assert (len(sender.sends(since=began)) > 5) is (limit is None)
 
 
-def test_a_report_that_cannot_be_does_not_stop_a_destination() -> None:
+def test_implausible_limit_report_does_not_stop_a_destination() -> None:
     caller = Caller(member("t1", weight=40.0), slots=60)
     caller.end(caller.accept(), limit=1e-9)
     limit = caller.forwarder.endpoints["t1"].shared_limit
@@ -175,15 +175,15 @@
     assert limit.weight < 40.0
 
 
-def test_a_limit_that_is_told_outlasts_the_next_list() -> None:
+def test_reported_limit_outlasts_the_next_endpoint_list() -> None:
     caller = Caller(member("t1", weight=40.0))
     caller.end(caller.accept(), limit=20.0)
     caller.step(EndpointListUpdate(UpdateScope.FULL, (member("t1", weight=40.0),)))
     assert caller.forwarder.endpoints["t1"].shared_limit.weight == 20.0
 
 
-def test_the_slow_one_of_two_endpoints_is_left() -> None:
-    """Only zones were compared, so that a slow endpoint kept half of its destination's calls."""
+def test_slower_of_two_endpoints_is_avoided() -> None:
+    """Regression: only zones were compared, so a slow endpoint kept half of the calls of its destination."""
     caller, times = Caller(member("t1"), member("t2"), slots=60), {"t1": 900_000, "t2": 200_000}
     for _ in range(20):
         pair = [caller.accept(), caller.accept()]
@@ -194,9 +194,9 @@
     assert late.count("t1") <= 4
 
 
-def test_a_call_that_is_out_for_long_speaks_against_its_endpoint() -> None:
+def test_endpoint_with_a_long_running_call_is_avoided() -> None:
     caller = Caller(member("t1"), member("t2"))
-    for _ in range(3):  # both are known
+    for _ in range(3):  # until both have a known answer time
         first, second = caller.accept(), caller.accept()
         for ref in (first, second):
             caller.end(ref, latency_us=100_000)
@@ -207,13 +207,13 @@
         assert caller.out[caller.accept(), 0] != target
 
 
-def test_the_cheaper_of_two_routes_is_taken_and_only_where_routes_are_apart() -> None:
+def test_cheaper_endpoint_is_preferred_only_where_limits_are_separate() -> None:
     fees = {"y": 0.06}
-    for kind, dear in (("apart", 0), ("plain", 5)):
+    for kind, min_expensive_calls in (("apart", 0), ("plain", 5)):
         caller = Caller(
             member("t1", zone="x", kind=kind), member("t2", zone="y", kind=kind), zone_fees=fees, slots=40
         )
         for _ in range(10):
             caller.end(caller.accept())
-        assert sum(a.target == "t2" for _, a in caller.sends()) >= dear
+        assert sum(a.target == "t2" for _, a in caller.sends()) >= min_expensive_calls
         assert kind == "plain" or sum(a.target == "t2" for _, a in caller.sends()) == 0
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -1,4 +1,4 @@
-"""Odd but legal events never crash the module, and bad values are named."""
+"""Test that unusual but legal events do not crash the module, and that errors name the invalid values."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.helpers import BASE, SAFE, SECOND_US, Caller, member
 
 
-def test_odd_events_are_passed_over() -> None:
+def test_unknown_references_and_tokens_are_ignored() -> None:
     caller = Caller(member("t1", weight=0.0), tenants={})
     caller.step(
         Outcome(77, 0, "t1", Result.OK, 5, True), TimerFired(99), EndpointListUpdate(UpdateScope.DELTA, ())
@@ -33,8 +33,8 @@
     assert ref in caller.ended
 
 
-def test_an_endpoint_that_moves_gets_nothing_more_from_its_old_destination() -> None:
-    """It stayed among the old destination's routes, and got that destination's messages."""
+def test_moved_endpoint_gets_no_calls_of_its_old_destination() -> None:
+    """Regression: it stayed among the endpoints of its old destination and got its messages."""
     caller = Caller(member("t1", dest=1), member("t2", dest=1))
     before = [caller.accept(dest=1) for _ in range(2)]
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t2", dest=2),)))
@@ -47,7 +47,7 @@
     assert all(caller.ended[r] == "Ok" for r in (*before, moved))
 
 
-def test_an_endpoint_may_return_under_its_old_name() -> None:
+def test_endpoint_may_be_listed_again_under_its_old_name() -> None:
     caller = Caller(member("t1"))
     first = caller.accept()
     caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
@@ -58,7 +58,7 @@
     assert caller.ended == {first: "Ok", second: "Ok"}
 
 
-def test_batches_hold_at_most_so_many_messages_and_one_slot() -> None:
+def test_batch_has_at_most_the_configured_messages_and_one_slot() -> None:
     caller = Caller(member("t1", kind="batch"), slots=1)
     caller.step(*[Accept(n, "safe", 1, 20 * SECOND_US) for n in range(100, 108)])
     assert len(caller.sends()) == 5 and len(caller.forwarder.endpoints["t1"].calls) == 1
@@ -84,7 +84,7 @@
     assert logs[0] == logs[1] and len(logs[0]) > 6
 
 
-def test_a_lost_list_is_asked_for_again_with_backoff() -> None:
+def test_failed_list_request_is_repeated_with_backoff() -> None:
     caller = Caller(on_request=True)
     caller.step(EndpointListUpdate(UpdateScope.FAILED))
     caller.wait(2 * SECOND_US)
@@ -92,7 +92,7 @@
     assert len(watches) == 2 and watches[1] >= watches[0] + SECOND_US
 
 
-def test_bad_values_are_named() -> None:
+def test_errors_name_the_invalid_values() -> None:
     with pytest.raises(ValueError, match="slots"):
         replace(BASE, slots=0)
     with pytest.raises(ValueError, match="late_worth"):
@@ -103,19 +103,21 @@
         Forwarder(BASE, 1).decide(0, [Accept(1, "nope", 1, 5)])
 
 
-@pytest.mark.parametrize("told", [True, False])
+@pytest.mark.parametrize("rates_configured", [True, False])
 @pytest.mark.parametrize("weight", [0.0, 1.0])
 @pytest.mark.parametrize(
     "changes", [{"tenants": {"a": 0.0}}, {"tenants": {}}, {"slots": 1}, {"try_limit": 1}]
 )
-def test_scarce_settings_do_not_crash(changes: dict[str, object], weight: float, told: bool) -> None:
-    """No tenants, a quota of 0, one slot, one try, no weights: all is answered, nothing crashes."""
+def test_scarce_settings_do_not_crash(
+    changes: dict[str, object], weight: float, rates_configured: bool
+) -> None:
+    """No tenants, a quota of 0, one slot, one try, no weights: every message is answered without a crash."""
     members = member("t1", weight=weight), member("t2", dest=2, weight=weight)
-    caller = Caller(*members, replicas=300, weights_told=told, **changes)
+    caller = Caller(*members, replicas=300, weights_told=rates_configured, **changes)
     classes = ("safe", "unsafe", "zoned") * 4
     refs = [caller.accept(cls, dest) for cls in classes for dest in (1, 2)]
     for turn in range(60):
-        for ref, _leg in list(caller.out):
+        for ref, _attempt_number in list(caller.out):
             caller.end(ref, (Result.OK, Result.FULL, Result.ERROR)[turn % 3])
         caller.wait(SECOND_US // 2)
     assert set(refs) <= set(caller.ended)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, each as a scripted case, and all of them over legal random event sequences."""
+"""Test the six rules of the sender: each in a scripted case, and all over random legal event sequences."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 def test_every_message_ends_by_its_deadline() -> None:
     caller = Caller(member("t1"))
     held = caller.accept("unsafe", dest=9, left_us=3 * SECOND_US)
-    out = caller.accept("unsafe", left_us=3 * SECOND_US)
+    sent = caller.accept("unsafe", left_us=3 * SECOND_US)
     caller.wait(3 * SECOND_US + BASE.answer_slack_us)
-    assert caller.ended == {held: "Refuse", out: "Fail"}
+    assert caller.ended == {held: "Refuse", sent: "Fail"}
 
 
 def test_nothing_is_sent_after_the_end() -> None:
@@ -41,7 +41,7 @@
     assert len(caller.sends()) == 1
 
 
-def test_withdrawn_messages_are_passed_over() -> None:
+def test_withdrawn_messages_are_not_sent_again() -> None:
     caller = Caller()
     ref = caller.accept()
     caller.step(Withdrawn(ref), Withdrawn(ref), Withdrawn(99))
@@ -50,7 +50,7 @@
     assert len(caller.sends()) == 1 and not caller.ended
 
 
-def test_unsafe_goes_again_only_if_proved_never_to_have_run() -> None:
+def test_unsafe_message_is_sent_again_only_if_it_never_ran() -> None:
     for result in Result:
         if result in (Result.OK, Result.MOOT):
             continue
@@ -64,7 +64,7 @@
             assert caller.ended[ref] == "Fail" and caller.legs[ref] == 1, result
 
 
-def test_keyed_goes_again_only_while_the_key_lives() -> None:
+def test_keyed_message_is_sent_again_only_within_its_key_lifetime() -> None:
     caller = Caller()
     ref = caller.accept("keyed")
     sent = caller.now
@@ -77,17 +77,17 @@
     assert all(t < sent + 5 * SECOND_US for t, _ in caller.sends())
 
 
-def test_keyed_stays_in_its_group() -> None:
+def test_keyed_message_with_same_zone_stays_in_its_zone() -> None:
     caller = Caller(member("t1", zone="x"), member("t2", zone="y"))
     ref = caller.accept("zoned")
-    zone = caller.out[ref, 0]
+    target = caller.out[ref, 0]
     caller.end(ref, Result.RESET)
     caller.wait(25 * SECOND_US)
-    assert {a.target for _, a in caller.sends()} == {zone}
+    assert {a.target for _, a in caller.sends()} == {target}
     assert caller.ended[ref] == "Fail"
 
 
-def test_drained_endpoint_gets_nothing_new() -> None:
+def test_draining_endpoint_gets_no_new_calls() -> None:
     caller = Caller(member("t1"), member("t2"))
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t1", status=EndpointStatus.DRAINING),)))
     caller.step(EndpointListUpdate(UpdateScope.FAILED))
@@ -100,33 +100,33 @@
     assert len(caller.sends()) == before
 
 
-def test_a_told_wait_halts_the_whole_destination_and_ends_spread() -> None:
+def test_retry_after_wait_stops_the_whole_destination_and_ends_spread() -> None:
     caller = Caller(member("t1"), member("t2"), slots=24)
     ref = caller.accept()
     caller.wait(SECOND_US // 10)
     caller.end(ref, Result.FULL, wait_us=SECOND_US)
-    told = caller.now
+    refused_at = caller.now
     for _ in range(8):
         caller.accept("unsafe")
     caller.wait(SECOND_US)
-    assert not caller.sends(since=told)
+    assert not caller.sends(since=refused_at)
     caller.wait(4 * SECOND_US)
-    times = [t for t, _ in caller.sends(since=told)]
+    times = [t for t, _ in caller.sends(since=refused_at)]
     assert times and len(set(times)) > 2, "the hold drains at once"
 
 
-def test_a_told_wait_halts_only_its_route_where_routes_are_apart() -> None:
+def test_retry_after_wait_stops_only_its_endpoint_where_limits_are_separate() -> None:
     caller = Caller(member("t1", kind="apart"), member("t2", kind="apart"))
     ref = caller.accept()
-    halted = caller.out[ref, 0]
+    refused_target = caller.out[ref, 0]
     caller.wait(SECOND_US // 10)
     caller.end(ref, Result.FULL, wait_us=2 * SECOND_US)
-    told = caller.now
+    refused_at = caller.now
     caller.accept()
-    assert {a.target for _, a in caller.sends(since=told)} == {"t1", "t2"} - {halted}
+    assert {a.target for _, a in caller.sends(since=refused_at)} == {"t1", "t2"} - {refused_target}
 
 
-def test_one_key_goes_one_at_a_time_in_order_and_blocks_nobody_else() -> None:
+def test_messages_of_one_key_are_sent_in_order_and_block_no_others() -> None:
     caller = Caller(key_rest_us=SECOND_US)
     first, second, other = (
         caller.accept("ordered", key="k"),
@@ -146,7 +146,7 @@
     assert caller.is_out(second) and caller.sends()[-1][0] >= rested + SECOND_US
 
 
-def test_a_withdrawn_message_blocks_its_key_while_it_is_out() -> None:
+def test_withdrawn_message_blocks_its_key_while_its_call_is_in_flight() -> None:
     caller = Caller()
     first, second = caller.accept("ordered", key="k"), caller.accept("ordered", key="k")
     caller.step(Withdrawn(first))
@@ -155,27 +155,27 @@
     assert caller.is_out(second)
 
 
-def test_a_returned_endpoint_is_not_pushed_over() -> None:
+def test_returned_endpoint_is_not_overloaded() -> None:
     caller = Caller(member("t1", weight=10.0), slots=40)
     for _ in range(3):
         ref = caller.accept()
         caller.wait(SECOND_US // 10)
         caller.end(ref, Result.CONNECT_FAILED)
-    failed = caller.now
+    failed_at = caller.now
     for _ in range(60):
         caller.accept()
-    back: int | None = None
-    while caller.now < failed + 20 * SECOND_US:
+    returned_at: int | None = None
+    while caller.now < failed_at + 20 * SECOND_US:
         caller.wait(SECOND_US // 10)
         for ref in [r for r, _ in caller.out]:
-            caller.end(ref, Result.OK if caller.now > failed + 5 * SECOND_US else Result.CONNECT_FAILED)
-            if caller.now > failed + 5 * SECOND_US:
-                back = back or caller.now
-    assert back is not None
-    trials = [t for t, _ in caller.sends(since=failed) if t < back]
+            caller.end(ref, Result.OK if caller.now > failed_at + 5 * SECOND_US else Result.CONNECT_FAILED)
+            if caller.now > failed_at + 5 * SECOND_US:
+                returned_at = returned_at or caller.now
+    assert returned_at is not None
+    trials = [t for t, _ in caller.sends(since=failed_at) if t < returned_at]
     assert all(b - a >= SECOND_US // 2 for a, b in pairwise(trials))
     for start in range(0, BASE.ramp_us, SECOND_US):
-        span = [t for t, _ in caller.sends() if back + start <= t < back + start + BASE.fall_us]
+        span = [t for t, _ in caller.sends() if returned_at + start <= t < returned_at + start + BASE.fall_us]
         share = BASE.cold_share + (1 - BASE.cold_share) * start / BASE.ramp_us
         assert len(span) <= BASE.overload_factor * share * 10 * BASE.fall_us / SECOND_US + 2
 
@@ -183,90 +183,92 @@
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.data())
 def test_rules_hold_over_random_events(data: st.DataObject) -> None:
-    """Any legal course of events: every rule but the slow start is checked from outside."""
+    """Check all rules except the slow start from outside, over random legal event sequences."""
     kind = data.draw(st.sampled_from(["plain", "batch", "apart"]))
     caller = Caller(
         member("t1", kind=kind), member("t2", kind=kind, zone="y"), slots=4, most_held=12, try_limit=4
     )
     cls_of: dict[int, str] = {}
-    deadline: dict[int, int] = {}
-    ran: dict[int, int] = {}
-    waits: dict[str, int] = {}
-    gone: set[str] = set()
+    deadlines: dict[int, int] = {}
+    first_attempt_at: dict[int, int] = {}
+    wait_until: dict[str, int] = {}
+    unlisted: set[str] = set()
     keys: dict[int, str] = {}
-    taken: list[int] = []
+    accepted: list[int] = []
 
     def watch(now: int, action: Action) -> None:
         if isinstance(action, Send):
             cls = BASE.classes[cls_of[action.ref]]
-            assert action.ref not in caller.ended and action.target not in gone
+            assert action.ref not in caller.ended and action.target not in unlisted
             assert not caller.is_out(action.ref)
             assert caller.legs.get(action.ref, 0) < 4
-            assert now >= waits.get(action.target if kind == "apart" else "all", 0)
-            if action.ref in ran:
+            assert now >= wait_until.get(action.target if kind == "apart" else "all", 0)
+            if action.ref in first_attempt_at:
                 assert cls.effect is not Effect.UNSAFE
-                assert cls.effect is Effect.SAFE or now < ran[action.ref] + cls.key_ttl_us
+                assert cls.effect is Effect.SAFE or now < first_attempt_at[action.ref] + cls.key_ttl_us
             if action.ref in keys:
-                earlier = [r for r in taken[: taken.index(action.ref)] if keys.get(r) == keys[action.ref]]
-                assert all(r in caller.ended and not caller.is_out(r) for r in earlier)
+                earlier_refs = [
+                    r for r in accepted[: accepted.index(action.ref)] if keys.get(r) == keys[action.ref]
+                ]
+                assert all(r in caller.ended and not caller.is_out(r) for r in earlier_refs)
         elif isinstance(action, Refuse | Fail):
-            assert now <= deadline[action.ref] + BASE.answer_slack_us
-            if isinstance(action, Refuse) and action.ref in ran:
+            assert now <= deadlines[action.ref] + BASE.answer_slack_us
+            if isinstance(action, Refuse) and action.ref in first_attempt_at:
                 cls = BASE.classes[cls_of[action.ref]]
                 assert cls.effect is not Effect.UNSAFE and not cls.same_zone
 
     caller.watch = watch
     for _ in range(data.draw(st.integers(5, 40))):
-        move = data.draw(
+        step = data.draw(
             st.sampled_from(["accept", "accept", "end", "end", "end", "wait", "list", "withdraw"])
         )
-        if move == "accept":
+        if step == "accept":
             cls = data.draw(st.sampled_from(sorted(BASE.classes)))
-            left = data.draw(st.integers(SECOND_US, 20 * SECOND_US))
+            left_us = data.draw(st.integers(SECOND_US, 20 * SECOND_US))
             ref = caller.next_ref + 1
-            cls_of[ref], deadline[ref] = cls, caller.now + left
-            taken.append(ref)
+            cls_of[ref], deadlines[ref] = cls, caller.now + left_us
+            accepted.append(ref)
             key = data.draw(st.sampled_from(["k", "l"])) if cls == "ordered" else None
             if key:
                 keys[ref] = key
-            caller.accept(cls, left_us=left, key=key)
-        elif move == "end" and caller.out:
-            ref, leg = data.draw(st.sampled_from(sorted(caller.out)))
+            caller.accept(cls, left_us=left_us, key=key)
+        elif step == "end" and caller.out:
+            ref, attempt_number = data.draw(st.sampled_from(sorted(caller.out)))
             result = data.draw(st.sampled_from(list(Result)))
-            wait = data.draw(st.sampled_from([0, SECOND_US])) if result is Result.FULL else 0
-            target = caller.out.pop((ref, leg))
-            sent = next(t for t, a in reversed(caller.log) if isinstance(a, Send) and a.ref == ref)
+            wait_us = data.draw(st.sampled_from([0, SECOND_US])) if result is Result.FULL else 0
+            target = caller.out.pop((ref, attempt_number))
+            sent_at = next(t for t, a in reversed(caller.log) if isinstance(a, Send) and a.ref == ref)
             if result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
-                ran.setdefault(ref, sent)
+                first_attempt_at.setdefault(ref, sent_at)
             if result is Result.OK:
                 caller.ended.setdefault(ref, "Ok")
-            over = ref in caller.ended
-            caller.step(Outcome(ref, leg, target, result, 1000, over, wait))
-            if wait:
-                place = target if kind == "apart" else "all"
-                waits[place] = max(waits.get(place, 0), caller.now + wait)
-        elif move == "wait":
+            has_ended = ref in caller.ended
+            caller.step(Outcome(ref, attempt_number, target, result, 1000, has_ended, wait_us))
+            if wait_us:
+                limit = target if kind == "apart" else "all"
+                wait_until[limit] = max(wait_until.get(limit, 0), caller.now + wait_us)
+        elif step == "wait":
             caller.wait(data.draw(st.integers(1, 3 * SECOND_US)))
-        elif move == "list":
+        elif step == "list":
             status = data.draw(st.sampled_from(list(EndpointStatus)))
             if status is EndpointStatus.LISTED:
-                gone.discard("t2")
+                unlisted.discard("t2")
             else:
-                gone.add("t2")
+                unlisted.add("t2")
             caller.step(
                 EndpointListUpdate(UpdateScope.DELTA, (member("t2", kind=kind, zone="y", status=status),))
             )
-        elif move == "withdraw" and taken:
-            ref = data.draw(st.sampled_from(taken))
+        elif step == "withdraw" and accepted:
+            ref = data.draw(st.sampled_from(accepted))
             if ref not in caller.ended:
                 caller.ended[ref] = "Withdrawn"
                 caller.step(Withdrawn(ref))
     caller.wait(25 * SECOND_US)
-    assert set(taken) <= set(caller.ended)
+    assert set(accepted) <= set(caller.ended)
 
 
-def test_a_route_listed_again_keeps_its_told_wait() -> None:
-    """Found by the random sequences: a route that left the list and came back forgot the wait it was told."""
+def test_endpoint_listed_again_keeps_its_retry_after_wait() -> None:
+    """Regression, found by random sequences: an endpoint listed again had lost its retry-after wait."""
     caller = Caller(member("t1", kind="apart"))
     ref = caller.accept()
     caller.end(ref, Result.FULL, wait_us=2 * SECOND_US)
@@ -289,8 +291,8 @@
     assert not forwarder.destinations
 
 
-def test_stuck_calls_are_called_off_only_when_slots_starve_and_unsafe_ones_later() -> None:
-    """Incidents id737bb and i222f4e: silent destinations held every slot and starved the healthy ones."""
+def test_stuck_calls_are_cancelled_only_without_free_slots_and_unsafe_ones_later() -> None:
+    """Regression (incidents id737bb, i222f4e): silent destinations took all slots from the healthy ones."""
     for cls, seconds, called_off in (("safe", 4, True), ("unsafe", 4, False), ("unsafe", 6, True)):
         caller = Caller(member("t1", dest=1), member("t2", dest=2), member("t3", dest=3), slots=2)
         caller.accept(cls, dest=1)
@@ -301,8 +303,8 @@
         assert any(isinstance(a, Cancel) for _, a in caller.log) is called_off
 
 
-def test_one_long_call_is_no_outage_and_its_answer_starts_no_slow_start() -> None:
-    """Incident idccf9c: single long calls were read as outages, and slow starts followed."""
+def test_single_long_call_is_no_outage_and_its_answer_starts_no_slow_start() -> None:
+    """Regression (incident idccf9c): single long calls were taken for outages, and slow starts followed."""
     caller = Caller(member("t1", weight=2.0))
     ref = caller.accept("unsafe")
     caller.wait(3 * SECOND_US)
@@ -314,17 +316,17 @@
     assert all(map(caller.is_out, refs))
 
 
-def test_a_full_hold_sheds_what_may_earn_least() -> None:
+def test_nearly_full_sender_refuses_the_least_valuable_messages() -> None:
     caller = Caller(member("t1"), most_held=10)
     caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
-    dear = [caller.accept("unsafe") for _ in range(5)]
-    cheap = [caller.accept("safe") for _ in range(6)]
-    assert not any(r in caller.ended for r in dear)
-    assert "Refuse" in {caller.ended.get(r) for r in cheap}
+    valuable = [caller.accept("unsafe") for _ in range(5)]
+    least_valuable = [caller.accept("safe") for _ in range(6)]
+    assert not any(r in caller.ended for r in valuable)
+    assert "Refuse" in {caller.ended.get(r) for r in least_valuable}
 
 
-def test_a_lost_unsafe_call_holds_no_permit_and_gives_its_slot_up() -> None:
-    """Incident i53b26d: single unsafe calls were swallowed and filled the windows until their deadline."""
+def test_lost_unsafe_call_holds_no_permit_and_releases_its_slot() -> None:
+    """Regression (incident i53b26d): unanswered unsafe calls filled the windows until their deadline."""
     caller = Caller(slots=2)
     lost = caller.accept("unsafe")
     for _ in range(6):
@@ -340,7 +342,7 @@
 
 
 def test_refusals_of_one_burst_count_once() -> None:
-    """Incident iae2142: four calls refused together were read as a shut destination."""
+    """Regression (incident iae2142): four calls refused together counted as an outage of the destination."""
     caller = Caller(member("t1", weight=20.0), slots=20)
     refs = [caller.accept("unsafe") for _ in range(4)]
     caller.wait(SECOND_US // 10)
@@ -349,22 +351,22 @@
     assert not caller.logs()
 
 
-def test_every_message_of_a_call_may_prolong_the_told_wait() -> None:
-    """Found by the rule hunt (h80106d): the messages of one call are told the wait in batches apart."""
+def test_every_message_of_a_call_may_extend_the_retry_after_wait() -> None:
+    """Regression (h80106d): the messages of one call receive the retry-after wait in separate batches."""
     caller = Caller(member("t1", kind="batch"))
     caller.step(*[Accept(n, "safe", 1, 20 * SECOND_US) for n in (100, 101)])
     caller.wait(SECOND_US // 10)
     caller.end(100, Result.FULL, wait_us=SECOND_US)
     caller.wait(SECOND_US // 2)
     caller.end(101, Result.FULL, wait_us=SECOND_US)
-    told = caller.now
+    refused_at = caller.now
     caller.wait(5 * SECOND_US)
-    later = [t for t, _ in caller.sends(since=told)]
-    assert later and min(later) > told + SECOND_US
+    later = [t for t, _ in caller.sends(since=refused_at)]
+    assert later and min(later) > refused_at + SECOND_US
 
 
-def test_what_may_not_go_again_is_given_longer_before_it_is_called_off() -> None:
-    """i3b514e: orders and payments that were called off for their slots could not go again and were lost."""
+def test_calls_that_cannot_be_repeated_are_cancelled_later() -> None:
+    """Regression (i3b514e): orders and payments cancelled for their slots were lost: no retry was safe."""
     for cls, called_off in (("safe", True), ("unsafe", False), ("zoned", False)):
         caller = Caller(member("t1", dest=1, zone="y"), member("t3", dest=3), slots=2)
         caller.accept(cls, dest=1)
@@ -378,8 +380,8 @@
         assert any(isinstance(a, Cancel) for _, a in caller.log) is called_off
 
 
-def test_one_return_starts_the_slow_start_of_its_siblings() -> None:
-    """Three endpoints down together were each found again by trials half a minute apart (riga rough-1)."""
+def test_return_of_one_endpoint_starts_the_slow_start_of_its_siblings() -> None:
+    """Regression (run riga rough-1): trials found the three endpoints of one outage half a minute apart."""
     caller = Caller(member("t1"), member("t2"), slots=20)
     caller.watch = lambda now, action: None
     for _ in range(20):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What hundreds of forwarders need: work that follows the event, limits that hold in sum, few connections."""
+"""Test large fleets: work per event, limits over all senders together, and few connections."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from tests.helpers import BASE, SECOND_US, Caller, member
 
 
-def calls_of_one_decision(endpoints: int) -> int:
-    """Function calls that one message's arrival costs, with so many endpoints listed."""
+def count_function_calls_of_one_decision(endpoints: int) -> int:
+    """Count the function calls caused by one accepted message with this many endpoints listed."""
     forwarder = Forwarder(replace(BASE, replicas=200), 1)
     listed = tuple(member(f"t{n}", dest=n // 2) for n in range(endpoints))
     forwarder.decide(0, [EndpointListUpdate(UpdateScope.FULL, listed)])
@@ -35,7 +35,7 @@
         nonlocal count
         count += event in ("call", "c_call")
 
-    gc.disable()  # hypothesis hooks into collections, and its calls would count as well
+    gc.disable()  # hypothesis hooks into the garbage collection, and its calls would be counted
     sys.setprofile(tally)
     try:
         forwarder.decide(SECOND_US, [Accept(1, "safe", 3, 20 * SECOND_US, "a")])
@@ -45,11 +45,11 @@
     return count
 
 
-def test_work_follows_the_event_and_not_the_fleet() -> None:
-    assert calls_of_one_decision(240) == calls_of_one_decision(20)
+def test_work_per_event_does_not_grow_with_the_fleet() -> None:
+    assert count_function_calls_of_one_decision(240) == count_function_calls_of_one_decision(20)
 
 
-def test_the_crowd_is_one_at_first_and_the_whole_fleet_at_last() -> None:
+def test_active_senders_grow_from_one_to_the_whole_fleet() -> None:
     limit = SharedLimit(replace(BASE, replicas=200), 4.0, 1.0, 0)
     assert limit.active_senders(0) == 1
     assert limit.active_senders(SECOND_US) == pytest.approx(5, rel=0.05)
@@ -61,29 +61,31 @@
 
 
 @pytest.mark.parametrize("replicas", [3, 40, 200])
-def test_trials_of_all_forwarders_stay_bounded_in_sum(replicas: int) -> None:
-    """Many senders that saw the same outage: what they try together must not push over what comes back."""
+def test_trial_calls_of_all_senders_together_stay_bounded(replicas: int) -> None:
+    """Trial calls of many senders that saw the same outage must not overload the returning endpoint."""
     weight, since, learning = 20.0, 30, 12
     sends = 0
     for number in range(replicas):
         caller = Caller(member("t1", weight=weight), replicas=replicas, slots=4)
         caller.forwarder.rng.seed(number)
-        learns_after = 2 * learning * number // replicas  # half seconds: each with its own work
+        # In half seconds: the senders get work at different times.
+        learns_after = 2 * learning * number // replicas
         caller.wait(learns_after * SECOND_US // 2)
         for _ in range(3):
             caller.accept(left_us=60 * SECOND_US)
         for _ in range(2 * since - learns_after):
-            for ref, _leg in list(caller.out):
+            for ref, _attempt_number in list(caller.out):
                 caller.end(ref, Result.CONNECT_FAILED)
             caller.wait(SECOND_US // 2)
         start = caller.now
         for _ in range(4):
             caller.wait(SECOND_US // 2)
-            for ref, _leg in list(caller.out):
+            for ref, _attempt_number in list(caller.out):
                 caller.end(ref, Result.CONNECT_FAILED)
         sends += len(caller.sends(since=start + 1))
         early = [t for t, _ in caller.sends() if t <= caller.now - (since + 2 - learning) * SECOND_US]
-        assert len(early) <= 3 or replicas < 40  # its own call and a trial or two: others learn it likewise
+        # The own call and one or two trial calls: other senders learn of the outage the same way.
+        assert len(early) <= 3 or replicas < 40
     assert sends / 2 <= BASE.overload_factor * BASE.cold_share * weight
 
 
@@ -94,7 +96,7 @@
         assert any("out" in line for line in caller.logs()) is out
 
 
-def test_refusals_of_a_sparse_forwarder_are_no_shut_destination() -> None:
+def test_few_refusals_in_a_large_fleet_are_no_outage() -> None:
     for replicas, shut in ((2, True), (60, False)):
         caller = Caller(member("t1", weight=20.0), replicas=replicas)
         ref = caller.accept(left_us=60 * SECOND_US)
@@ -113,7 +115,7 @@
         assert any(isinstance(a, Disconnect) for _, a in caller.log) is closes
 
 
-def test_a_connection_dropped_while_idle_says_nothing_of_the_endpoint() -> None:
+def test_connection_dropped_while_idle_does_not_count_against_the_endpoint() -> None:
     caller = Caller(member("t1", weight=20.0), replicas=50, keepalive_us=20 * SECOND_US)
     caller.end(caller.accept())
     caller.wait(2 * SECOND_US)
@@ -126,7 +128,7 @@
     assert any(isinstance(a, Disconnect) for _, a in caller.log)
 
 
-def test_a_changed_rough_rate_is_taken_in() -> None:
+def test_changed_configured_rate_is_applied() -> None:
     caller = Caller(member("t1", weight=4.0))
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t1", weight=9.0),)))
     assert caller.forwarder.endpoints["t1"].shared_limit.weight == 9.0
@@ -137,7 +139,7 @@
     ref = caller.accept("ordered", key="k", left_us=3 * SECOND_US)
     caller.end(ref, Result.RESET)
     caller.wait(30 * SECOND_US)
-    for again, _leg in list(caller.out):
+    for again, _attempt_number in list(caller.out):
         caller.end(again, Result.CANCELLED)
     caller.wait(30 * SECOND_US)
     assert not caller.forwarder.keys
@@ -149,19 +151,19 @@
     caller = Caller(*[member(f"t{n}", dest=n // 2, weight=weight) for n in range(480)], **changes)
     refs = [caller.accept(cls, dest=3) for cls in ("safe", "keyed", "unsafe")]
     for result in (Result.FULL, Result.TIMEOUT, Result.ERROR, Result.RESET, Result.CONNECT_FAILED):
-        for ref, _leg in list(caller.out):
+        for ref, _attempt_number in list(caller.out):
             caller.end(ref, result)
         caller.wait(SECOND_US)
     caller.step(Outcome(refs[0], 99, "t6", Result.OK, 5, True))
     caller.wait(30 * SECOND_US)
-    for ref, _leg in list(caller.out):
+    for ref, _attempt_number in list(caller.out):
         caller.end(ref, Result.TIMEOUT)
     assert set(refs) <= set(caller.ended)
     assert all(isinstance(a.timeout_us, int) for _, a in caller.log if isinstance(a, Send))
 
 
-def test_the_crowd_of_a_slow_start_goes_on_growing() -> None:
-    """rabat-flags-later big-2: who learnt of an outage late took a small crowd into its slow start."""
+def test_active_senders_keep_growing_during_a_slow_start() -> None:
+    """Regression (run rabat-flags-later big-2): who learned of an outage late assumed few active senders."""
     caller = Caller(member("t1", weight=40.0), replicas=200)
     caller.end(caller.accept(), Result.CONNECT_FAILED)
     while not caller.out:
@@ -178,8 +180,8 @@
         )
 
 
-def test_nothing_is_picked_while_nothing_can_have_changed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every event looked at every waiting destination; with a full hold that was cut off (i3f77b4)."""
+def test_unchanged_destinations_are_not_picked_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Regression (i3f77b4): each event looked at every waiting destination: too slow with many messages."""
     caller = Caller(*[member(f"t{n}", dest=n) for n in range(20)], slots=2, most_held=1000)
     for dest in range(20):
         caller.accept(dest=dest)
@@ -196,32 +198,32 @@
         caller.accept(dest=19)
     assert looks == 0  # every slot is taken
     caller.end(1)
-    assert looks <= 45  # one look at each, and one more after the send
+    assert looks <= 45  # one look at each endpoint, and one more after the send
     before = looks
     caller.end(2)
-    assert looks - before <= 5  # the others' picks stand
+    assert looks - before <= 5  # the picks of the other destinations stay valid
 
 
-def test_a_pick_that_stands_ends_with_its_endpoint() -> None:
+def test_valid_pick_is_dropped_with_its_endpoint() -> None:
     caller = Caller(*[member(f"t{n}", dest=n) for n in range(3)], slots=1)
     first = caller.accept(dest=0)
     caller.accept(dest=1)
     caller.accept(dest=2)
     caller.end(first)
     second = next(iter(caller.out))[0]
-    other = 3 - int(caller.out[second, 0][1:])
-    assert caller.forwarder.destinations[other].choice is not None
+    unsent_dest = 3 - int(caller.out[second, 0][1:])
+    assert caller.forwarder.destinations[unsent_dest].choice is not None
     caller.step(
         EndpointListUpdate(
-            UpdateScope.DELTA, (member(f"t{other}", dest=other, status=EndpointStatus.DRAINING),)
+            UpdateScope.DELTA, (member(f"t{unsent_dest}", dest=unsent_dest, status=EndpointStatus.DRAINING),)
         )
     )
     caller.end(second)
-    assert all(a.target != f"t{other}" for _, a in caller.sends())
+    assert all(a.target != f"t{unsent_dest}" for _, a in caller.sends())
 
 
-def test_a_clump_that_meets_an_outage_does_not_try_again_in_step() -> None:
-    """riga-docs-hub: a clump at 31 forwarders was tried thrice in step, and pushed its destination over."""
+def test_burst_that_meets_an_outage_is_not_retried_in_step() -> None:
+    """Regression (run riga-docs-hub): 31 senders retried a burst three times in step, an overload."""
     sends = list[int]()
     for number in range(30):
         caller = Caller(member("t1", weight=2.0), member("t2", weight=2.0), replicas=150)
@@ -230,18 +232,18 @@
         start = caller.now
         for _ in range(150):
             caller.wait(SECOND_US // 10)
-            for ref, _leg in list(caller.out):
+            for ref, _attempt_number in list(caller.out):
                 caller.end(ref, Result.CONNECT_FAILED)
         sends += [t - start for t, _ in caller.sends(since=start + 1) if t - start > SECOND_US]
     busiest = max(sum(0 <= t - at < 2 * SECOND_US for t in sends) for at in sends)
-    assert busiest <= 24  # of 60; all of them when tried in step
+    assert busiest <= 24  # of 60 calls; all of them if retried in step
 
 
 @pytest.mark.parametrize("busy", [False, True])
-def test_trials_do_not_take_the_slots_that_others_wait_for(busy: bool) -> None:
-    """Trials that hang, two at each of seven silent endpoints, held 11 of 26 slots while 900 waited."""
-    silent, usual = range(1, 8), (20, 21, 22)
-    listed = [member(f"t{n}", dest=n, weight=20.0) for n in (*silent, *usual)]
+def test_trial_calls_do_not_take_slots_that_others_need(busy: bool) -> None:
+    """Regression: hanging trials, two per silent endpoint, held 11 of 26 slots while 900 messages waited."""
+    silent, healthy = range(1, 8), (20, 21, 22)
+    listed = [member(f"t{n}", dest=n, weight=20.0) for n in (*silent, *healthy)]
     caller = Caller(*listed, slots=24, most_held=1000)
     for dest in silent:
         caller.accept(dest=dest)
@@ -252,7 +254,7 @@
     for dest in (20, 21) * 10 + (22,) * 3 if busy else ():
         caller.accept("unsafe", dest=dest)
     for ref in [r for (r, _), target in caller.out.items() if target not in ("t20", "t21", "t22")]:
-        caller.end(ref, Result.CONNECT_FAILED)  # trials from before hang no longer
+        caller.end(ref, Result.CONNECT_FAILED)  # earlier trial calls hang no longer
     at_once = 0
     for _ in range(60):
         caller.wait(SECOND_US // 10)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""A destination that is out, in doubt or cold: what one sender of many may send there."""
+"""Test how much one of many senders may call a destination during an outage, suspicion or slow start."""
 
 from __future__ import annotations
 
@@ -23,35 +23,35 @@
 from tests.helpers import SECOND_US, Caller, member
 
 SENDERS = 40
-FALL = 2 * SECOND_US  # of the settings
-LONG = 60 * SECOND_US
+FALL_US = 2 * SECOND_US  # as in the settings
+LONG_US = 60 * SECOND_US
 
 
 def sender(**changes: object) -> Caller:
-    """One of many, with two endpoints at a destination."""
+    """Return one sender of many, with two endpoints at a destination."""
     listed = (member("a", weight=8.0), member("b", weight=8.0))
     return Caller(*listed, replicas=SENDERS, peers=True, **changes)
 
 
 def test_a_sibling_without_an_answer_is_called_once_and_then_as_if_cold() -> None:
-    """Twenty senders each sent all that waited to the sibling, at the moment in which both came back."""
+    """Regression: twenty senders each sent all held messages to the sibling when both returned."""
     caller = sender()
-    caller.end(caller.accept(left_us=LONG), Result.CONNECT_FAILED)
+    caller.end(caller.accept(left_us=LONG_US), Result.CONNECT_FAILED)
     for _ in range(8):
-        caller.accept(left_us=LONG)
+        caller.accept(left_us=LONG_US)
     assert len(caller.out) == 1
-    caller.wait(FALL)
+    caller.wait(FALL_US)
     sibling = next(e for e in caller.forwarder.endpoints.values() if e.out_since is None)
     assert sibling.suspected
     caller.end(next(iter(caller.out))[0], Result.OK)
-    assert sibling.ramp_from is None  # the call had been sent at once: it was never out
+    assert sibling.ramp_from is None  # the call had been sent at once: the sibling had no outage
 
 
-def test_an_answer_that_is_asked_for_later_begins_a_slow_start() -> None:
+def test_answer_to_a_later_call_begins_a_slow_start() -> None:
     caller = sender()
-    caller.end(caller.accept(left_us=LONG), Result.CONNECT_FAILED)
+    caller.end(caller.accept(left_us=LONG_US), Result.CONNECT_FAILED)
     sibling = next(e for e in caller.forwarder.endpoints.values() if e.out_since is None)
-    caller.wait(FALL)
+    caller.wait(FALL_US)
     ref, _ = next(iter(caller.out))
     sibling.ramp_bucket.tokens = 1.0
     caller.end(ref, Result.CANCELLED)
@@ -60,43 +60,43 @@
     assert any("answers while a sibling is out" in line for line in caller.logs())
 
 
-@pytest.mark.parametrize(("wait_us", "cold"), [(FALL, True), (FALL - 1, False)])
-def test_a_wait_longer_than_a_limit_needs_ends_in_a_slow_start(wait_us: int, cold: bool) -> None:
-    """All that a shut destination had told when it opens came at that moment."""
+@pytest.mark.parametrize(("wait_us", "cold"), [(FALL_US, True), (FALL_US - 1, False)])
+def test_wait_longer_than_a_rate_limit_needs_ends_in_a_slow_start(wait_us: int, cold: bool) -> None:
+    """Regression: all senders that a shut destination had told when it opens called at that moment."""
     caller = sender()
-    caller.end(caller.accept(left_us=LONG), Result.FULL, wait_us=wait_us)
-    caller.wait(FALL + SECOND_US)
+    caller.end(caller.accept(left_us=LONG_US), Result.FULL, wait_us=wait_us)
+    caller.wait(FALL_US + SECOND_US)
     assert all((e.ramp_from is not None) is cold for e in caller.forwarder.endpoints.values())
 
 
-@pytest.mark.parametrize("proved", [True, False])
-def test_a_return_is_that_of_the_destination(proved: bool) -> None:
+@pytest.mark.parametrize("confirmed", [True, False])
+def test_return_of_an_endpoint_ends_the_outage_of_its_destination(confirmed: bool) -> None:
     caller = sender()
-    caller.end(caller.accept(left_us=LONG), Result.CONNECT_FAILED)
+    caller.end(caller.accept(left_us=LONG_US), Result.CONNECT_FAILED)
     first, sibling = sorted(caller.forwarder.endpoints.values(), key=lambda e: e.out_since is None)
-    first.failure_confirmed = proved
+    first.failure_confirmed = confirmed
     caller.step(NoteReceived(3, Note(1, (Fact(FactKind.BACK, endpoint_digest(first.target)),))))
     caller.wait(SECOND_US // 10)
     caller.step(NoteReceived(3, Note(2, (Fact(FactKind.BACK, endpoint_digest(first.target)),))))
     for endpoint in (first, sibling):
         assert endpoint.out_since is None and not endpoint.suspected
-        assert (endpoint.ramp_from is not None) is proved
+        assert (endpoint.ramp_from is not None) is confirmed
 
 
-@pytest.mark.parametrize("back", [None, 999 * SECOND_US])
-def test_what_the_process_before_knew_holds_also_for_what_is_listed_later(back: int | None) -> None:
+@pytest.mark.parametrize("back_at", [None, 999 * SECOND_US])
+def test_restored_outage_applies_to_endpoints_listed_later(back_at: int | None) -> None:
     caller = sender()
-    outages = tuple(Outage(target, 990 * SECOND_US, back) for target in ("a", "late"))
+    outages = tuple(Outage(target, 990 * SECOND_US, back_at) for target in ("a", "late"))
     caller.step(OutagesRestored(outages))
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("late", weight=8.0),)))
     for target in ("a", "late"):
         endpoint = caller.forwarder.endpoints[target]
-        assert endpoint.suspected if back is None else endpoint.ramp_from == back
+        assert endpoint.suspected if back_at is None else endpoint.ramp_from == back_at
     assert set(caller.forwarder.outages(caller.now)) == set(outages)
 
 
 @pytest.mark.parametrize(("away_us", "known"), [(20 * SECOND_US, True), (40 * SECOND_US, False)])
-def test_an_outage_is_known_for_a_while_after_its_endpoint_left_the_list(away_us: int, known: bool) -> None:
+def test_outage_is_remembered_for_a_while_after_its_endpoint_left_the_list(away_us: int, known: bool) -> None:
     caller = Caller(member("a", weight=8.0), replicas=SENDERS)
     caller.end(caller.accept(), Result.CONNECT_FAILED)
     caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("a", status=EndpointStatus.REMOVED),)))
@@ -105,49 +105,49 @@
     assert caller.forwarder.endpoints["a"].is_recovering(caller.now) is known
 
 
-def test_who_has_just_begun_to_listen_takes_an_even_part() -> None:
+def test_sender_that_just_began_to_receive_gossip_takes_an_even_share() -> None:
     caller = sender()
-    caller.end(caller.accept(left_us=LONG), Result.CONNECT_FAILED)
-    hearsay, work = caller.forwarder.gossip, (Fact(FactKind.WORK, 2, 1),)
+    caller.end(caller.accept(left_us=LONG_US), Result.CONNECT_FAILED)
+    gossip, work = caller.forwarder.gossip, (Fact(FactKind.WORK, 2, 1),)
     for number in range(LISTEN):
-        assert not hearsay.informed(caller.now)
+        assert not gossip.informed(caller.now)
         caller.step(NoteReceived(3, Note(number, work)))
-        caller.wait(hearsay.beat_us)
-    assert hearsay.informed(caller.now)
+        caller.wait(gossip.beat_us)
+    assert gossip.informed(caller.now)
 
 
-@pytest.mark.parametrize("again", ["begin_outage", "begin_cold"])
-def test_a_slow_start_that_is_over_leaves_no_full_bucket(again: str) -> None:
-    """Nothing had been sent since it was over, and the next outage went on with all saved up."""
+@pytest.mark.parametrize("method", ["begin_outage", "begin_cold"])
+def test_ended_slow_start_leaves_no_full_token_bucket(method: str) -> None:
+    """Regression: no call followed the slow start, so the next outage began with all tokens saved up."""
     caller = sender()
-    endpoint, end = caller.forwarder.endpoints["a"], caller.now + LONG
+    endpoint, end = caller.forwarder.endpoints["a"], caller.now + LONG_US
     endpoint.end_outage(caller.now, True, Random(1))
-    getattr(endpoint, again)(end, end, Random(1))
+    getattr(endpoint, method)(end, end, Random(1))
     assert endpoint.next_send_at(end, None) > end
 
 
-def test_trials_of_a_fleet_that_learns_together_keep_the_budget() -> None:
-    """All had work from before, and set their first trial by the few that could have got some just then."""
+def test_trial_calls_of_a_fleet_that_learns_at_once_stay_within_the_budget() -> None:
+    """Regression: the first trial was timed for the few senders with new work, but all had work."""
     times: list[int] = []
     for number in range(SENDERS):
         caller = Caller(member("a", weight=4.0), replicas=SENDERS)
         caller.forwarder.rng.seed(number)
-        ref = caller.accept(left_us=LONG)
+        ref = caller.accept(left_us=LONG_US)
         caller.end(ref, Result.CONNECT_FAILED)
-        begun = caller.now
+        began_at = caller.now
         for _ in range(150):
             caller.wait(SECOND_US // 10)
             if caller.is_out(ref):
-                times.append(caller.now - begun)
+                times.append(caller.now - began_at)
                 caller.end(ref, Result.CONNECT_FAILED)
     settings = caller.forwarder.settings
-    bears = settings.overload_factor * settings.cold_share * 4.0 * FALL / SECOND_US
-    most = max(sum(at <= other < at + FALL for other in times) for at in times)
-    assert most <= bears + 3 * math.sqrt(bears) + 3
-    assert times  # one of them finds the return
+    capacity = settings.overload_factor * settings.cold_share * 4.0 * FALL_US / SECOND_US
+    most = max(sum(at <= other < at + FALL_US for other in times) for at in times)
+    assert most <= capacity + 3 * math.sqrt(capacity) + 3
+    assert times  # one of the trial calls finds the endpoint back
 
 
-def test_no_partner_is_pushed_over_that_returns_while_senders_restart() -> None:
-    """A partner that had been shut fell here, four in five of its calls from senders that it had refused."""
+def test_partner_that_returns_while_senders_restart_is_not_overloaded() -> None:
+    """Regression: a partner that had been shut failed: 4 in 5 calls came from senders it had refused."""
     result = World(load(str(FOLDER / "return-at-restart.scenario")), 5).run()
     assert result["rules"] == "kept", result["breaches"]
