--- a/rowanspindle/logic.py
+++ b/rowanspindle/logic.py
@@ -1,10 +1,7 @@
-"""Decision module of a sender: routing, retries, refusals, outages and load shedding.
+"""Decision module of a sender. The interface (settings, events, actions) is in rowanspindle/api.py.
 
-The interface (settings, events, actions) is defined in rowanspindle/api.py. The main path follows Dialogue:
-hold a message, choose an endpoint (lowest in-flight count plus ten times its recent failures), acquire a
-permit from the concurrency windows of the endpoint and of its destination, and send. docs/design.md lists the
-differences.
-"""
+As in Dialogue, a message is held, an endpoint is chosen (lowest in-flight count plus ten times recent
+failures), permits of its and the destination's window are acquired, and it is sent. Cf. docs/design.md."""
 
 from __future__ import annotations
 
@@ -51,89 +48,59 @@
 
 SECOND_US = 1_000_000
 
-FAILURE_PENALTY_CALLS = 10.0  # a recent failure counts as this many in-flight calls, as in Dialogue
+FAILURE_CALLS = 10.0  # a recent failure counts as this many in-flight calls, as in Dialogue
 FAILURE_DECAY_S = 3.0  # time in which the weight of a failure decays to 1/e
 FULL_SLOTS_ZONE_FACTOR = 3.0  # extra weight of a far zone when every slot is taken, as a multiple
-NEW_CONNECTION_PENALTY_CALLS = 1.5  # the lack of a warm idle connection counts as this many in-flight calls
-# Expected calls per connection within its keep-alive time from which one more connection is worth opening.
-CALLS_PER_EXTRA_CONNECTION = 4.0
-# Difference of two mean answer times, in standard errors, that is still attributed to chance.
-ENDPOINT_TOLERANCE_ERRORS = 2.0
-# Difference of two zones' mean answer times, in standard errors, attributed to chance.
-ZONE_TOLERANCE_ERRORS = 1.0
-# Fleet size from which each sender sees few calls of an endpoint. Senders of smaller fleets soon correct a
-# chance result.
-LARGE_FLEET_SENDERS = 8
-# An answer time twice that of the fastest endpoint counts as this many in-flight calls.
-SLOWNESS_PENALTY_CALLS = 2.0
-# In-flight calls that correspond to one point of the score paid for a call to another zone.
-CROSSING_PENALTY_CALLS = 25.0
-# In-flight calls that correspond to one point of the score paid per message on an endpoint with its own
-# limit.
-ZONE_FEE_PENALTY_CALLS = 25.0
-
-# Weight of a new answer time in the running mean and deviation: covers about the last dozen answers.
-LATENCY_SMOOTHING_FACTOR = 0.15
-# Deviations above the mean time of a zone's refusals within which nearly all refusals have arrived.
-REFUSAL_DEVIATION_FACTOR = 2.0
+NEW_CONNECTION_CALLS = 1.5  # the lack of a warm idle connection counts as this many in-flight calls
+CALLS_PER_EXTRA_CONNECTION = 4.0  # calls per connection within its keep-alive time that justify one more
+ENDPOINT_ERRORS = 2.0  # standard errors by which mean answer times of endpoints may differ by chance
+ZONE_ERRORS = 1.0  # standard errors by which mean answer times of zones may differ by chance
+MANY_SENDERS = 8  # fleet size from which each sender sees few calls of an endpoint and corrects chance late
+SLOWNESS_CALLS = 2.0  # an answer time twice that of the fastest endpoint counts as this many in-flight calls
+CROSSING_CALLS = 25.0  # in-flight calls per point of the score that a call to another zone costs
+ZONE_FEE_CALLS = 25.0  # in-flight calls per point of the score that an endpoint's zone takes per message
+
+SMOOTHING = 0.15  # weight of a new time in a running mean and deviation: covers about the last dozen
+REFUSAL_DEVIATION_FACTOR = 2.0  # nearly all refusals arrive within the mean plus this many deviations
 MAX_REFUSAL_US = 500_000  # upper bound of the time expected for a refusal: slower ones had been queued
-# A call is silent when it exceeds both the mean plus this many deviations and SILENCE_MEAN_FACTOR times the
-# mean.
-SILENCE_DEVIATION_FACTOR = 8.0
-SILENCE_MEAN_FACTOR = 5.0  # see SILENCE_DEVIATION_FACTOR; as a multiple of the mean answer time
+SILENCE_DEVIATION_FACTOR = 8.0  # a silent call takes longer than the mean plus this many deviations
+SILENCE_MEAN_FACTOR = 5.0  # a silent call takes longer than this multiple of the mean answer time, too
 SINGLE_CALL_SILENCE_FACTOR = 2.0  # a single call in flight may take this many times the silence time-out
-# Lower bound of the silence time-out as a share of the shortest aim, which is the estimate until the first
-# answer.
-MIN_SILENCE_AIM_FACTOR = 0.4
+SILENCE_AIM_FACTOR = 0.4  # least silence time-out as a share of the shortest aim, the estimate at first
 TIMEOUT_SILENCE_FACTOR = 4.0  # silence time-outs after which a repeatable attempt times out
-# Silence time-outs after which a call that cannot be repeated is cancelled while others lack slots.
-UNSAFE_CANCEL_SILENCE_FACTOR = 2.5
+UNSAFE_CANCEL_SILENCE_FACTOR = 2.5  # silence time-outs after which an unrepeatable call may be cancelled
 
 OUTAGE_FAILURE_COUNT = 3  # upper bound of the consecutive failures that count as an outage
-# With rare calls, as many failures as own calls are expected in this time count as an outage: the other
-# senders see failures too.
-OUTAGE_EVIDENCE_S = 2.0
+OUTAGE_EVIDENCE_S = 2.0  # as many failures as own calls in this time suffice: other senders see failures too
 OUTAGE_REFUSAL_COUNT = 4  # consecutive refusals without an answer that count as an outage of the destination
-# Lower bound, per sender, of the consecutive refusals that count as an outage: the answers may go to the
-# other senders.
-OUTAGE_REFUSALS_PER_SENDER = 1.3
+REFUSALS_PER_SENDER = 1.3  # least such refusals per sender of the fleet: answers may go to the others
 
-SCARCE_SLOT_SHARE = 0.75  # share of the slots in use above which trial calls, which may hang, are limited
-TRIAL_SLOT_SHARE = 0.12  # share of the slots that trial calls may take while slots are scarce
-# Effects in order of preference for trial calls, the least preferred first: a trial call may be lost.
-TRIAL_EFFECT_ORDER = (Effect.UNSAFE, Effect.KEYED, Effect.SAFE)
+SCARCITY = 0.75  # share of the slots in use above which trial calls, which may hang, are limited
+TRIAL_SHARE = 0.12  # share of the slots that trial calls may take while slots are scarce
+TRIAL_EFFECT_ORDER = (Effect.UNSAFE, Effect.KEYED, Effect.SAFE)  # a trial may be lost: least preferred first
 
 SHED_START_SHARE = 0.92  # share of most_held above which the least valuable messages are refused
-SHED_END_SHARE = 0.8  # share of most_held below which the shedding candidates are no longer tracked
+SHED_END_SHARE = 0.8  # share of most_held below which the least valuable messages are no longer tracked
 MAX_DRAIN_S = 10.0  # upper bound of the time to drain used to compare messages
 MIN_DRAIN_S = 1.0  # lower bound of the time to drain used to compare messages
-# How long a pick stays valid: urgencies change slowly, and picking is the expensive part of a round.
-PICK_VALIDITY_US = 50_000
-MAX_REFRESH_COUNT = 8  # outdated picks refreshed at most before the most urgent one is taken
-# Changed destinations that are picked again in one round. The others follow in the next round.
-MAX_CHANGED_PER_ROUND = 64
-MAX_WEIGHED_PER_ROUND = 64  # destinations whose shedding candidate is refreshed in one round at most
-# The oldest picks refreshed in each round, because a pick far down the queue may have become urgent.
-STALE_REFRESH_COUNT = 8
+PICK_VALIDITY_US = 50_000  # how long a pick stays valid: urgencies change slowly, and picking is expensive
+MAX_REFRESHES = 8  # outdated picks refreshed at most before the most urgent one is taken
+MAX_CHANGED_COUNT = 64  # changed destinations picked again in one round; the others follow in the next
+MAX_REVALUED_COUNT = 64  # destinations revalued for load shedding in one round at most
+STALE_REFRESH_COUNT = 8  # oldest picks refreshed in each round: one far down may have become urgent
 
 
 def is_lost(call: Call[Endpoint], now: int) -> bool:
-    """Return whether a call is overdue although an answer came after it was sent: it will hardly be answered.
+    """Return whether a call is overdue although an answer came after it was sent; it holds no permit then.
 
-    Such a call holds no permit. Endpoints that swallow single calls otherwise fill the windows with unsafe
-    calls until their deadline.
-    """
-    return (
-        call.endpoint.answered_at > call.sent_at and now - call.sent_at >= call.endpoint.silence_timeout_us()
-    )
+    Otherwise calls swallowed by an endpoint, unsafe ones above all, fill the windows until their deadline."""
+    return call.endpoint.answered_at > call.sent_at and now - call.sent_at >= call.endpoint.silence_us()
 
 
-def latency_excess(measured: tuple[float, float], fastest: tuple[float, float], tolerance: float) -> float:
+def excess(measured: tuple[float, float], fastest: tuple[float, float], tolerance: float) -> float:
     """Return by which share a mean answer time exceeds the fastest one, or 0 if that may be chance.
 
-    Each argument is a mean with its standard error. Without the check for chance, each sender keeps calling
-    the few of many equal endpoints that happened to answer fast at first, and these get overloaded.
-    """
+    Otherwise senders keep calling the few of many equal endpoints that answered fast at first, by chance."""
     (mean, error), (fastest_mean, fastest_error) = measured, fastest
     return mean / fastest_mean - 1 if mean - fastest_mean > tolerance * (error + fastest_error) else 0.0
 
@@ -148,63 +115,44 @@
     """One endpoint with its concurrency window, answer times, outage and slow start."""
 
     def __init__(
-        self,
-        entry: EndpointEntry,
-        shared_limit: SharedLimit,
-        settings: Settings,
-        turn: float,
-        preferred: bool,
+        self, entry: EndpointEntry, limit: SharedLimit, settings: Settings, turn: float, preferred: bool
     ) -> None:
         super().__init__(settings)
         self.target, self.zone, self.dest, self.kind = entry.target, entry.zone, entry.dest, entry.kind
-        self.shared_limit, self.settings = shared_limit, settings
+        self.shared_limit, self.settings = limit, settings
         self.turn, self.share = turn, 1.0  # endpoints of equal rank take turns in proportion to their shares
         self.listed, self.preferred = True, preferred  # preferred: chosen at random to be called first
         self.window = ConcurrencyWindow(
-            shared_limit.window.size,
-            shared_limit.window.most,
-            pacing.WINDOW_FLOOR_CALLS,
-            pacing.WINDOW_CUT_FACTOR,
+            limit.window.size, limit.window.most, pacing.WINDOW_FLOOR_CALLS, pacing.WINDOW_CUT_FACTOR
         )
         self.calls: list[Call[Endpoint]] = []
-        self.failure_score, self.failed_at, self.consecutive_failures, self.first_failure_at = 0.0, 0, 0, 0
-        self.usual = RunningMean(LATENCY_SMOOTHING_FACTOR)
-        self.idle_connections: list[int] = []
+        self.failures, self.failed_at, self.consecutive_failures, self.first_failure_at = 0.0, 0, 0, 0
+        self.usual = RunningMean(SMOOTHING)
+        self.idle: list[int] = []  # when each idle connection became idle
         self.answered_at = 0
-        self.min_silence_us = MIN_SILENCE_AIM_FACTOR * min(c.aim_us for c in settings.classes.values())
+        self.min_silence_us = SILENCE_AIM_FACTOR * min(c.aim_us for c in settings.classes.values())
 
     @property
     def stride(self) -> float:
         """Distance between two turns: an endpoint with half the share has half as many turns."""
         return 1 / (self.share or 1.0)
 
-    def even_share_rate(self) -> float:
+    def even_rate(self) -> float:
         """Return an even share of the destination's rate, in calls per second of all senders."""
         return self.shared_limit.weight / max(1, self.shared_limit.routes)
 
-    def rank(self, now: int, extra_connection: bool = False) -> float:
-        """Return Dialogue's balanced score: the lower, the better.
+    def rank(self, now: int, extra: bool = False) -> float:
+        """Return Dialogue's balanced score, the lower the better, with a preference for warm connections.
 
-        Warm connections are preferred unless an extra connection is worth opening. In a large fleet, failures
-        count as whole calls: with few calls in flight, the decayed rest of one failure would keep an endpoint
-        from being called at all.
-        """
-        recent_failures = self.failure_score * math.exp(
-            -(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US)
-        )
-        failure_penalty = FAILURE_PENALTY_CALLS * recent_failures
-        connection_penalty = (
-            NEW_CONNECTION_PENALTY_CALLS if not (extra_connection or self.is_warm(now)) else 0.0
-        )
-        return (
-            len(self.calls)
-            + (round(failure_penalty) if self.settings.replicas >= LARGE_FLEET_SENDERS else failure_penalty)
-            + connection_penalty
-        )
+        Large fleets round it: among few calls, the rest of one failure would keep an endpoint unused."""
+        recent = self.failures * math.exp(-(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US))
+        weight = FAILURE_CALLS * recent
+        cold = NEW_CONNECTION_CALLS if not (extra or self.is_warm(now)) else 0.0
+        return len(self.calls) + (round(weight) if self.settings.replicas >= MANY_SENDERS else weight) + cold
 
     def is_warm(self, now: int) -> bool:
         """Return whether a call can use an open connection. Preferred endpoints count as warm."""
-        idle = self.idle_connections and now - self.idle_connections[-1] < self.settings.keepalive_us
+        idle = self.idle and now - self.idle[-1] < self.settings.keepalive_us
         return bool(idle) or self.shares_connection() or self.preferred
 
     def latency(self, now: int) -> float:
@@ -215,28 +163,22 @@
         """Return whether a connection in use has room for the next call."""
         return len(self.calls) % self.settings.streams_per_conn > 0
 
-    def silence_timeout_us(self) -> float:
+    def silence_us(self) -> float:
         """Return how long a call may stay unanswered before that is a symptom of an outage."""
         mean = self.usual.mean
-        typical_us = max(mean * SILENCE_MEAN_FACTOR, mean + SILENCE_DEVIATION_FACTOR * self.usual.deviation)
-        return (
-            max(self.min_silence_us, typical_us)
-            if typical_us
-            else self.min_silence_us / MIN_SILENCE_AIM_FACTOR
-        )
+        typical = max(mean * SILENCE_MEAN_FACTOR, mean + SILENCE_DEVIATION_FACTOR * self.usual.deviation)
+        return max(self.min_silence_us, typical) if typical else self.min_silence_us / SILENCE_AIM_FACTOR
 
     def silence_due_at(self) -> int:
         """Return when silence becomes a symptom; later for a single call, which may just take long."""
         if not self.calls or self.answered_at > self.calls[0].sent_at:
             return NEVER
         factor = SINGLE_CALL_SILENCE_FACTOR if len(self.calls) == 1 else 1.0
-        return self.calls[0].sent_at + math.ceil(self.silence_timeout_us() * factor)
+        return self.calls[0].sent_at + math.ceil(self.silence_us() * factor)
 
     def record_failure(self, now: int, sent_at: int) -> None:
         """Record a failed call in the score and in the number of consecutive failures."""
-        self.failure_score = 1 + self.failure_score * math.exp(
-            -(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US)
-        )
+        self.failures = 1 + self.failures * math.exp(-(now - self.failed_at) / (FAILURE_DECAY_S * SECOND_US))
         self.failed_at = now
         self.consecutive_failures += 1
         self.first_failure_at = sent_at if self.consecutive_failures == 1 else self.first_failure_at
@@ -255,9 +197,9 @@
     """The decisions of one sender, based on its settings and its own events only."""
 
     @property
-    def is_large_fleet(self) -> bool:
+    def large_fleet(self) -> bool:
         """Whether each sender sees few calls of an endpoint."""
-        return self.settings.replicas >= LARGE_FLEET_SENDERS
+        return self.settings.replicas >= MANY_SENDERS
 
     def decide(self, now_us: int, events: list[Event]) -> list[Action]:
         """Process the events of a round and return the resulting actions."""
@@ -306,9 +248,7 @@
             for endpoint in destination.endpoints.values():
                 if kind is FactKind.SHORT:
                     self.connection_reuse.record_shortage(endpoint.kind, self.now)
-                    self.recently_answered |= {
-                        e: None for e in self.endpoints.values() if e.kind == endpoint.kind
-                    }
+                    self.answered |= {e: None for e in self.endpoints.values() if e.kind == endpoint.kind}
                 elif (
                     kind is FactKind.REFUSED
                     and not self.settings.kinds.get(endpoint.kind, DestinationKind()).apart
@@ -340,7 +280,7 @@
         expires_at = message.deadline
         if message.first_attempt_at is not None and message.cls.effect is Effect.KEYED:
             expires_at = min(expires_at, message.first_attempt_at + message.cls.key_ttl_us)
-        self.expiries.set(message.ref, self.now if self.cannot_be_sent_again(message) else expires_at)
+        self.expiries.set(message.ref, self.now if self.cannot_resend(message) else expires_at)
 
     def update_endpoint_list(self, event: EndpointListUpdate) -> None:
         """Apply an endpoint list update. Draining and removed endpoints get no new calls from now on."""
@@ -367,17 +307,13 @@
                 limit = (None if apart else destination.shared_limit) or SharedLimit(
                     self.settings, entry.weight, self.initial_rate(), self.now, self.initial_token()
                 )
-                has_warm_sibling = self.is_large_fleet and any(
-                    e.is_warm(self.now) for e in destination.endpoints.values()
-                )
-                preferred = has_warm_sibling and self.rng.random() * (len(destination.endpoints) + 1) < 1
-                # As a share of a turn: the endpoint called last counts as passed.
-                passed_share = (destination.last_turn > 0) / max(1, len(destination.endpoints))
+                warm = self.large_fleet and any(e.is_warm(self.now) for e in destination.endpoints.values())
+                first = warm and self.rng.random() * (len(destination.endpoints) + 1) < 1
+                passed_share = (destination.last_turn > 0) / max(
+                    1, len(destination.endpoints)
+                )  # the last called
                 turn = destination.last_turn + self.rng.random() * (1 + passed_share)
-                destination.shared_limit, endpoint = (
-                    limit,
-                    Endpoint(entry, limit, self.settings, turn, preferred),
-                )
+                destination.shared_limit, endpoint = limit, Endpoint(entry, limit, self.settings, turn, first)
                 self.endpoints[entry.target] = destination.endpoints[entry.target] = endpoint
                 self.endpoints_by_digest[endpoint_digest(entry.target)] = endpoint
                 self.restore_outage(endpoint)
@@ -391,34 +327,28 @@
                 if self.unlisted.pop(known.target, None) is not None:
                     known.shared_limit.routes += 1
                     self.changed_lists.add(known.dest)
-        zones_are_priced = self.settings.zone and self.settings.crossing_price
-        for changed in (
-            self.destinations[n] for n in self.changed_lists if zones_are_priced and n in self.destinations
-        ):
-            routes = [e for e in changed.endpoints.values() if e.listed]
-            assign_shares(routes, self.settings.zone, self.settings.zones, changed.last_turn)
+        priced = self.settings.zone and self.settings.crossing_price
+        for state in (self.destinations[n] for n in self.changed_lists if priced and n in self.destinations):
+            routes = [e for e in state.endpoints.values() if e.listed]
+            assign_shares(routes, self.settings.zone, self.settings.zones, state.last_turn)
         self.changed_lists.clear()
 
     def initial_token(self) -> float:
         """Return the initial tokens of a paced limit: random in a large fleet, which may start at once."""
-        return self.startup_rng.random() if self.is_large_fleet else 1.0
+        return self.startup_rng.random() if self.large_fleet else 1.0
 
     def update_measured_rate(self, destination: Destination) -> None:
-        """Update the rate estimate of a destination whose rate is not configured.
-
-        The estimate is the rate of this sender's own answered calls times the number of senders. Summed over
-        all senders this is what the destination answered, however unevenly the work is distributed: with the
-        own rate d, weight / active senders is d for a sender that calls often, and otherwise about one call
-        within the age of its oldest message. Outages and slow starts are excluded: the rate that a
-        destination answered before them is what it can take afterwards.
-        """
+        """Update the rate estimate of a destination without a configured rate from own answered calls.
+
+        Over all senders it adds up to what the destination answers: each is paced at about its own rate, or
+        at one call per age of its work. Outages and slow starts do not count: they do not change that."""
         for endpoint in destination.endpoints.values():
-            shared_limit = endpoint.shared_limit
+            limit = endpoint.shared_limit
             if endpoint.out_since is not None or endpoint.ramp_from is not None:
-                shared_limit.own_rate.at = self.now
-            elif shared_limit.rate_is_measured:
-                shared_limit.weight = max(
-                    shared_limit.own_rate.rate(self.now, self.initial_rate()) * self.settings.replicas, 0.1
+                limit.own.at = self.now
+            elif limit.rate_is_measured:
+                limit.weight = max(
+                    limit.own.rate(self.now, self.initial_rate()) * self.settings.replicas, 0.1
                 )
 
     def outcome(self, event: Outcome) -> None:
@@ -428,30 +358,26 @@
             return
         message.attempts_out.discard(event.attempt_number)
         self.mark_changed(call.endpoint.dest)
-        # Each message of a call may carry its own retry-after wait (h80106d).
-        wait_until = self.now + event.wait_us + 1 if event.wait_us else 0
+        wait_until = self.now + event.wait_us + 1 if event.wait_us else 0  # may differ by message (h80106d)
         call.endpoint.shared_limit.opens_at = max(call.endpoint.shared_limit.opens_at, wait_until)
         if event.limit:
             call.endpoint.shared_limit.record_reported_limit(event.limit)
         if not call.learned_from:
             call.learned_from = True
             self.learn_from_call(call, event)
-        del call.open_attempts[event.ref, event.attempt_number]
-        if not call.open_attempts:
+        del call.attempts[event.ref, event.attempt_number]
+        if not call.attempts:
             for calls in (call.endpoint.calls, call.endpoint.shared_limit.calls):
                 calls.remove(call)
             del self.calls[call]
             self.overdue_at.drop(call)
-            for tracked in (self.overdue, self.trial_calls):
+            for tracked in (self.overdue, self.trials):
                 tracked.pop(call, None)
             if not (call.endpoint.listed or call.endpoint.calls):
                 self.removals.set(call.endpoint, self.now)
             if event.result in (Result.OK, Result.ERROR, Result.FULL):  # the connection stays open and idle
-                call.endpoint.idle_connections = [
-                    *call.endpoint.idle_connections[-int(call.endpoint.window.most) :],
-                    self.now,
-                ]
-                self.recently_answered[call.endpoint] = None
+                call.endpoint.idle = [*call.endpoint.idle[-int(call.endpoint.window.most) :], self.now]
+                self.answered[call.endpoint] = None
         self.schedule_silence_check(call.endpoint)
         may_have_run = event.result not in (Result.OK, Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
         if may_have_run and (message.first_attempt_at is None or call.sent_at < message.first_attempt_at):
@@ -472,41 +398,34 @@
 
     def close_idle(self) -> None:
         """Close connections that will hardly be used again within their keep-alive time."""
-        for endpoint in self.recently_answered:
+        for endpoint in self.answered:
             if self.connection_reuse.is_rarely_reused(
-                endpoint.kind, endpoint.even_share_rate() / self.settings.replicas, self.now
+                endpoint.kind, endpoint.even_rate() / self.settings.replicas, self.now
             ):
                 self.disconnect(endpoint)
-        self.recently_answered.clear()
+        self.answered.clear()
 
     def disconnect(self, endpoint: Endpoint) -> None:
         """Close the idle connections to an endpoint."""
-        if endpoint.idle_connections:
-            endpoint.idle_connections = []
+        if endpoint.idle:
+            endpoint.idle = []
             self.actions.append(Disconnect(endpoint.target))
 
     def learn_from_call(self, call: Call[Endpoint], event: Outcome) -> None:
-        """Update the endpoint, its limit and the statistics from the result of a call.
-
-        Both concurrency windows, that of the endpoint and that of its limit, are updated here.
-        """
+        """Update the endpoint, its limit, both windows and the statistics from the result of a call."""
         endpoint, limit, kind, now = call.endpoint, call.endpoint.shared_limit, call.endpoint.kind, self.now
         expected_calls = limit.weight / self.settings.replicas * OUTAGE_EVIDENCE_S  # of this sender
         if event.result in (Result.OK, Result.TIMEOUT):
-            self.zone_latency.setdefault(endpoint.zone, RunningMean(LATENCY_SMOOTHING_FACTOR)).add(
-                event.latency_us
-            )
+            self.zone_times.setdefault(endpoint.zone, RunningMean(SMOOTHING)).add(event.latency_us)
         match event.result:
             case Result.OK:
                 limit.record_answer()
-                limit.own_rate.count += endpoint.out_since is None and endpoint.ramp_from is None
-                self.connection_reuse.record_answer(kind, call.new_connection)
+                limit.own.count += endpoint.out_since is None and endpoint.ramp_from is None
+                self.connection_reuse.record_answer(kind, call.connects)
                 if endpoint.out_since is not None:
                     self.gossip.record_recovery(endpoint.target)
                     self.declare_recovered(endpoint, "answers again")
-                elif endpoint.suspected and endpoint.end_suspicion(
-                    now, call.sent_at, self.outage_confirmed(endpoint)
-                ):
+                elif endpoint.suspected and endpoint.reinstate(now, call.sent_at, self.confirmed(endpoint)):
                     self.gossip.record_recovery(endpoint.target)
                     self.actions.append(
                         LogLine(
@@ -519,67 +438,55 @@
                 endpoint.window.grow(len(endpoint.calls))
             case Result.FULL:
                 limit.window.cut(now, call.sent_at)
-                self.refusal_latency.setdefault(endpoint.zone, RunningMean(LATENCY_SMOOTHING_FACTOR)).add(
-                    event.latency_us
-                )
-                short = not event.wait_us and self.connection_reuse.record_refusal(
-                    kind, call.new_connection, now
-                )
+                self.refusal_times.setdefault(endpoint.zone, RunningMean(SMOOTHING)).add(event.latency_us)
+                short = not event.wait_us and self.connection_reuse.record_refusal(kind, call.connects, now)
                 already_known = call.sent_at <= limit.last_refusal_at
                 self.gossip.record_refusal(endpoint.dest, event.wait_us, short, already_known, now)
-                accepted_at = min((m.accepted_at for m in call.open_attempts.values()), default=now)
+                accepted_at = min((m.accepted_at for m in call.attempts.values()), default=now)
                 senders, _ = self.active_senders(endpoint, accepted_at)
                 limit.record_refusal(now, call.sent_at, event.wait_us, senders, short, self.rng)
                 self.begin_cold_after_wait(endpoint, event.wait_us)
-                if limit.consecutive_refusals >= max(
-                    OUTAGE_REFUSAL_COUNT, OUTAGE_REFUSALS_PER_SENDER * self.settings.replicas
-                ):
+                if limit.refusals >= max(OUTAGE_REFUSAL_COUNT, REFUSALS_PER_SENDER * self.settings.replicas):
                     self.declare_outage(endpoint, "refuses all calls", now)
                 if endpoint.out_since is not None:
                     endpoint.failure_confirmed = True
             case Result.TIMEOUT | Result.RESET if call.idle_us > LEAST_US and (
                 expected_calls < 1 or endpoint.answered_at > call.sent_at
             ):
-                # A connection that was dropped silently while idle fails like this. That is assumed where
-                # other calls are answered or own calls are too rare to tell. A new connection shows the
-                # difference: a hang is detected one call later.
+                # A connection dropped while idle fails like this. It is assumed where others are answered or
+                # own calls are too rare to tell. On a new connection a hang is detected one call later.
                 self.connection_reuse.record_drop(kind, call.idle_us)
                 self.disconnect(endpoint)
             case Result.CANCELLED if endpoint.out_since is not None:  # counts as a failure: the call had hung
                 endpoint.failure_confirmed = True
             case Result.ERROR | Result.TIMEOUT | Result.RESET | Result.CONNECT_FAILED:
                 if event.result is Result.CONNECT_FAILED and endpoint.consecutive_failures == 0:
-                    # The endpoint is down or has no connection left.
-                    self.connection_reuse.record_drop(kind)
+                    self.connection_reuse.record_drop(kind)  # the endpoint may have no connection left
                 endpoint.record_failure(now, call.sent_at)
                 endpoint.window.cut(now, call.sent_at)
                 if event.result is Result.ERROR:
                     limit.window.cut(now, call.sent_at)
                 else:
-                    endpoint.idle_connections = []
+                    endpoint.idle = []
                 if endpoint.consecutive_failures >= min(OUTAGE_FAILURE_COUNT, max(1, round(expected_calls))):
                     self.declare_outage(endpoint, f"calls end with {event.result.value}", call.sent_at)
 
-    def endpoints_sharing_limit(self, endpoint: Endpoint) -> list[Endpoint]:
+    def limit_group(self, endpoint: Endpoint) -> list[Endpoint]:
         """Return the endpoints that share its limit, and therefore its outages, including itself."""
         others = self.destinations[endpoint.dest].endpoints.values()
         return [other for other in others if other.shared_limit is endpoint.shared_limit]
 
-    def outage_confirmed(self, endpoint: Endpoint) -> bool:
+    def confirmed(self, endpoint: Endpoint) -> bool:
         """Return whether a call failed in the outage of its destination, which may otherwise just be slow."""
-        affected = (
-            e for e in self.endpoints_sharing_limit(endpoint) if e.out_since is not None or e.suspected
-        )
+        affected = (e for e in self.limit_group(endpoint) if e.out_since is not None or e.suspected)
         return any(e.failure_confirmed for e in affected)
 
     def declare_recovered(self, endpoint: Endpoint, reason: str) -> None:
         """End the outage of a destination because an endpoint answers again, here or at another sender.
 
-        The slow start includes endpoints that were not called during the outage. Otherwise they would receive
-        everything that is held.
-        """
-        group = self.endpoints_sharing_limit(endpoint)
-        confirmed = self.outage_confirmed(endpoint)
+        Endpoints not called meanwhile start slowly too: otherwise they would receive all held messages."""
+        group = self.limit_group(endpoint)
+        confirmed = self.confirmed(endpoint)
         began_at = endpoint.began_at
         for other in group:
             if other.out_since is None and not other.suspected:
@@ -600,22 +507,17 @@
     def suspect_siblings(self, endpoint: Endpoint) -> None:
         """Suspect the siblings of a failed endpoint, as an outage usually affects a whole destination.
 
-        Siblings without an answer since the first failure are called as if cold until they answer. Otherwise
-        they would receive everything that is held at the moment they return.
-        """
-        for other in self.endpoints_sharing_limit(endpoint):
+        Until they answer they are called as if cold: otherwise they would receive all held messages."""
+        for other in self.limit_group(endpoint):
             answered_since = other.answered_at > endpoint.first_failure_at
             if not answered_since and not other.is_recovering(self.now):
                 other.begin_suspicion(self.now, self.rng)
                 self.recovering[other] = None
 
     def begin_cold_after_wait(self, endpoint: Endpoint, wait_us: int) -> None:
-        """Start a slow start after a retry-after wait that is longer than a rate limit needs.
-
-        The destination returns cold then, and to all senders that were given such a wait at once.
-        """
+        """Begin a slow start after a wait that no rate limit needs: all senders that wait return at once."""
         if wait_us >= self.settings.fall_us:
-            for other in self.endpoints_sharing_limit(endpoint):
+            for other in self.limit_group(endpoint):
                 other.begin_cold(self.now, other.shared_limit.opens_at, self.rng)
                 self.recovering[other] = None
 
@@ -629,7 +531,7 @@
                 endpoint.first_failure_at = since
             self.suspect_siblings(endpoint)
             self.mark_changed(endpoint.dest)
-            next_s = (endpoint.next_send_at(self.now, None) - self.now) / SECOND_US
+            next_s = (endpoint.next_send(self.now, None) - self.now) / SECOND_US
             self.actions.append(
                 LogLine(
                     f"{endpoint.target}: outage, {reason}; destination {endpoint.dest}, "
@@ -642,9 +544,7 @@
         senders, from_gossip = self.active_senders(endpoint, self.now)
         if not (from_gossip and self.gossip.informed(self.now)):
             return f"budget shared evenly by {self.settings.replicas} senders"
-        return (
-            f"budget shared with {senders - 1:.1f} of {self.settings.replicas - 1} other senders, by gossip"
-        )
+        return f"budget shared with {senders - 1:.1f} of {self.settings.replicas - 1} others by gossip"
 
     def outages(self, now: int) -> tuple[Outage, ...]:
         """Return what is known of endpoints in an outage or slow start, for the next process."""
@@ -656,9 +556,7 @@
     def restore_outages(self, event: OutagesRestored) -> None:
         """Restore the outages known to the previous process, including those of endpoints not listed yet.
 
-        Without this, each process that restarts during an outage calls at once. The calls of a whole fleet
-        exceed what an endpoint can take that returns at that time.
-        """
+        Otherwise a fleet that restarts in an outage calls at once and overloads a returning endpoint."""
         self.remember_outages(event.outages)
         for endpoint in [self.endpoints[target] for target in self.known_outages if target in self.endpoints]:
             self.restore_outage(endpoint)
@@ -678,14 +576,12 @@
 
     def detect_silence(self) -> None:
         """Declare an outage for calls that are overdue without a later answer, before their time-out."""
-        for endpoint in self.silence_checks.due(self.now):
+        for endpoint in self.silences.due(self.now):
             if endpoint.out_since is None and self.now >= endpoint.silence_due_at():
                 endpoint.window.cut(self.now, endpoint.calls[0].sent_at)
-                self.declare_outage(
-                    endpoint, "silent, no answer within the usual time", endpoint.calls[0].sent_at
-                )
+                self.declare_outage(endpoint, "silent for too long", endpoint.calls[0].sent_at)
         for call in self.overdue_at.due(self.now):
-            if (overdue_at := call.sent_at + int(call.endpoint.silence_timeout_us()) + 1) > self.now:
+            if (overdue_at := call.sent_at + int(call.endpoint.silence_us()) + 1) > self.now:
                 self.overdue_at.set(call, overdue_at)  # the mean answer time has grown in the meantime
                 continue
             self.overdue[call] = None
@@ -694,15 +590,13 @@
     def schedule_silence_check(self, endpoint: Endpoint) -> None:
         """Schedule the next silence check after a change of the calls or the answer times."""
         if endpoint.out_since is None and (at := endpoint.silence_due_at()) < NEVER:
-            self.silence_checks.set(endpoint, at)
+            self.silences.set(endpoint, at)
         else:
-            self.silence_checks.drop(endpoint)
+            self.silences.drop(endpoint)
         if endpoint.calls and endpoint.calls[0] not in self.overdue:
-            self.overdue_at.set(
-                endpoint.calls[0], endpoint.calls[0].sent_at + int(endpoint.silence_timeout_us()) + 1
-            )
+            self.overdue_at.set(endpoint.calls[0], endpoint.calls[0].sent_at + int(endpoint.silence_us()) + 1)
 
-    def cannot_be_sent_again(self, message: Message) -> bool:
+    def cannot_resend(self, message: Message) -> bool:
         """Return whether a message may not be sent again. The only place that decides this."""
         effect, first_attempt_at = message.cls.effect, message.first_attempt_at
         repeatable = (
@@ -721,23 +615,18 @@
             if len(limit.calls) >= limit.window.most:
                 return NEVER
             slots = self.settings.slots
-            if len(self.calls) > slots * SCARCE_SLOT_SHARE and len(self.trial_calls) >= max(
-                1, int(slots * TRIAL_SLOT_SHARE)
-            ):
-                return max(self.now + int(MIN_TRIAL_INTERVAL_S * SECOND_US), endpoint.next_send_at(now, None))
+            if len(self.calls) > slots * SCARCITY and len(self.trials) >= max(1, int(slots * TRIAL_SHARE)):
+                return max(self.now + int(MIN_TRIAL_INTERVAL_S * SECOND_US), endpoint.next_send(now, None))
         elif (
             is_window_full(limit.window, limit.calls, now)
             or is_window_full(endpoint.window, endpoint.calls, now)
             or (endpoint.suspected and endpoint.calls)
         ):
-            overdue_times = (c.sent_at + int(c.endpoint.silence_timeout_us()) + 1 for c in limit.calls)
+            overdue_times = (c.sent_at + int(c.endpoint.silence_us()) + 1 for c in limit.calls)
             return min((at for at in overdue_times if at > now), default=NEVER)
-        senders, from_gossip = self.active_senders(endpoint, self.destinations[endpoint.dest].held.since)
-        informed = from_gossip and self.gossip.informed(now)
-        return max(
-            limit.next_token_at(now, senders, from_gossip),
-            endpoint.next_send_at(now, senders if informed else None),
-        )
+        count, known = self.active_senders(endpoint, self.destinations[endpoint.dest].held.since)
+        informed = known and self.gossip.informed(now)
+        return max(limit.next_token(now, count, known), endpoint.next_send(now, count if informed else None))
 
     def active_senders(self, endpoint: Endpoint, since: int) -> tuple[float, bool]:
         """Return how many senders share a pace, and whether gossip tells that (else it is an estimate)."""
@@ -745,97 +634,65 @@
         estimate = endpoint.shared_limit.active_senders(self.now - since)
         reported = self.gossip.active_senders(endpoint.dest, held, self.now, estimate)
         if endpoint.shared_limit.gossip_is_partial:
-            # The estimate assumes one message at each other sender, while this one holds several.
-            estimate = max(1.0, estimate / max(1, held))
+            estimate = max(1.0, estimate / max(1, held))  # it assumes one message at each other sender
         return reported or estimate, reported is not None
 
     def pick_next(self, destination: Destination) -> None:
         """Pick the next message of a destination and its endpoint. The only place that does so.
 
-        Within a message group, urgency changes direction at a few deadlines only, and the most urgent message
-        is next to one of these. So thousands of held messages cost no more than a dozen.
-        """
+        Within a message group the most urgent one is next to a few deadlines: long queues cost no more."""
         now, destination.choice = self.now, None
         openings = [(self.sendable_at(e), e) for e in destination.endpoints.values()]
         destination.opens_at = min((at for at, _ in openings if at > now), default=NEVER)
         routes = [e for at, e in openings if at <= now]
         if len(routes) > 1:
-            latencies = (
-                (e.latency(now), e.usual.error() * self.is_large_fleet) for e in routes if e.usual.mean
-            )
+            latencies = ((e.latency(now), e.usual.error() * self.large_fleet) for e in routes if e.usual.mean)
             fastest = min(latencies, key=sum, default=(1.0, 0.0))
             for passed in (e for e in routes if e.turn <= destination.last_turn):
                 passed.turn = destination.last_turn + self.rng.random() * passed.stride
-            extra_connection = self.is_large_fleet and (
+            extra = self.large_fleet and (
                 sum(e.is_warm(now) for e in routes) + 1
             ) * CALLS_PER_EXTRA_CONNECTION * SECOND_US <= (destination.rate * self.settings.keepalive_us)
-            routes.sort(
-                key=lambda e: (e.rank(now, extra_connection) + self.route_penalty(e, fastest), e.turn)
-            )
+            routes.sort(key=lambda e: (e.rank(now, extra) + self.route_penalty(e, fastest), e.turn))
         drain_us = self.drain_us(destination) if routes else 0
         best: tuple[int, float] | None = None
-        for cls, zone, messages in destination.held.sendable() if routes else ():
+        for cls, zone, group in destination.held.sendable() if routes else ():
             if (route := next((e for e in routes if zone in ("", e.zone)), None)) is None:
                 continue
             trial_order = 0 if route.out_since is None else TRIAL_EFFECT_ORDER.index(cls.effect)
             answer_at, refusal_at = now + int(route.usual.mean), now + self.expected_refusal_us(route)
-            for message in messages.around(
-                urgency_breakpoints(cls, answer_at, drain_us, self.settings.halves)
-            ):
+            for message in group.around(urgency_breakpoints(cls, answer_at, drain_us, self.settings.halves)):
                 if message.deadline <= refusal_at:
-                    # The message would end while the refusal is on its way, and its retry-after wait would be
-                    # lost.
-                    continue
+                    continue  # it would end before a refusal arrives, whose retry-after wait would be lost
                 key = trial_order, self.urgency(message, answer_at, drain_us)
                 if best is None or key > best:
                     best, destination.choice = key, (key[1], message, route)
 
     def expected_refusal_us(self, endpoint: Endpoint) -> float:
         """Return the time within which refusals from the endpoint's zone usually arrive."""
-        times = self.refusal_latency.get(endpoint.zone)
+        times = self.refusal_times.get(endpoint.zone)
         return min(times.mean + REFUSAL_DEVIATION_FACTOR * times.deviation, MAX_REFUSAL_US) if times else 0.0
 
     def route_penalty(self, endpoint: Endpoint, fastest: tuple[float, float]) -> float:
-        """Return what counts against an endpoint besides its rank, in in-flight calls.
-
-        This is its fee, its answer time compared with the fastest endpoint, and the answer time of its zone
-        compared with the fastest zone.
+        """Return what counts against an endpoint besides its rank, in in-flight calls: fee and latencies.
 
-        The zones matter because a sender that calls each endpoint rarely can learn about a far or slow zone
-        only from the other endpoints there. The comparison is wrong where one slow destination gets most
-        calls of a zone.
-        """
+        Zones count as calls per endpoint are too rare to learn from; a dominant slow destination misleads."""
         apart = self.settings.kinds.get(endpoint.kind, DestinationKind()).apart
-        penalty = ZONE_FEE_PENALTY_CALLS * self.settings.zone_fees.get(endpoint.zone, 0.0) if apart else 0.0
+        penalty = ZONE_FEE_CALLS * self.settings.zone_fees.get(endpoint.zone, 0.0) if apart else 0.0
         if not endpoint.share:
-            penalty += CROSSING_PENALTY_CALLS * self.settings.crossing_price
+            penalty += CROSSING_CALLS * self.settings.crossing_price
         if endpoint.usual.mean:
             latency = endpoint.latency(self.now), endpoint.usual.error()
-            penalty += SLOWNESS_PENALTY_CALLS * latency_excess(
-                latency, fastest, ENDPOINT_TOLERANCE_ERRORS * self.is_large_fleet
-            )
-        zones = {
-            name: (zone.mean, zone.error() * self.is_large_fleet) for name, zone in self.zone_latency.items()
-        }
-        fastest_zone = min(zones.values(), key=sum, default=(1.0, 0.0))
-        # A call to a far zone keeps its slot longer.
-        scarcity = 1 + FULL_SLOTS_ZONE_FACTOR * len(self.calls) / self.settings.slots
-        return (
-            penalty
-            + latency_excess(
-                zones.get(endpoint.zone, fastest_zone),
-                fastest_zone,
-                ZONE_TOLERANCE_ERRORS * self.is_large_fleet,
-            )
-            * scarcity
-        )
+            penalty += SLOWNESS_CALLS * excess(latency, fastest, ENDPOINT_ERRORS * self.large_fleet)
+        zones = {name: (zone.mean, zone.error() * self.large_fleet) for name, zone in self.zone_times.items()}
+        best = min(zones.values(), key=sum, default=(1.0, 0.0))
+        scarce = 1 + FULL_SLOTS_ZONE_FACTOR * len(self.calls) / self.settings.slots  # far calls last longer
+        return penalty + excess(zones.get(endpoint.zone, best), best, ZONE_ERRORS * self.large_fleet) * scarce
 
     def drain_us(self, destination: Destination) -> int:
         """Estimate how long the held messages need to drain at the rates of the limits and active senders."""
         since, routes = destination.held.since, destination.endpoints.values()
-        rate = sum(
-            (e.shared_limit.pace or e.even_share_rate()) / self.active_senders(e, since)[0] for e in routes
-        )
+        rate = sum((e.shared_limit.pace or e.even_rate()) / self.active_senders(e, since)[0] for e in routes)
         return int(min(max(MIN_DRAIN_S, len(destination.held) / max(rate, 0.1)), MAX_DRAIN_S) * SECOND_US)
 
     def urgency(self, message: Message, answer_at: int, drain_us: int) -> float:
@@ -864,88 +721,73 @@
         """Send while slots and permits are available, the most urgent message of all destinations first."""
         if len(self.calls) >= self.settings.slots and not self.overdue:
             return  # no slot is free, and no call is overdue enough to be cancelled
-        for number in dict.fromkeys(
-            [*islice(self.changed, MAX_CHANGED_PER_ROUND), *self.openings.due(self.now)]
-        ):
+        for number in dict.fromkeys([*islice(self.changed, MAX_CHANGED_COUNT), *self.openings.due(self.now)]):
             self.changed.pop(number, None)
             self.refresh_pick(number)
-        # Urgencies change with time: the first and the oldest picks are refreshed.
-        stale_before = self.now - PICK_VALIDITY_US
-        self.ready.refresh(stale_before, STALE_REFRESH_COUNT, self.refresh_pick)
+        stale = self.now - PICK_VALIDITY_US  # urgencies change: the first and the oldest picks are refreshed
+        self.ready.refresh(stale, STALE_REFRESH_COUNT, self.refresh_pick)
         while len(self.calls) < self.settings.slots:
-            if (
-                most_urgent := self.ready.first_refreshed(stale_before, MAX_REFRESH_COUNT, self.refresh_pick)
-            ) is None:
+            if (first := self.ready.first_refreshed(stale, MAX_REFRESHES, self.refresh_pick)) is None:
                 break
-            destination = self.destinations[most_urgent]
+            destination = self.destinations[first]
             if destination.choice is not None:
                 self.send(destination, *destination.choice[1:])
-            self.changed.pop(most_urgent, None)
-            self.refresh_pick(most_urgent)
+            self.changed.pop(first, None)
+            self.refresh_pick(first)
         self.cancel_stuck_calls()
 
     def cancel_stuck_calls(self) -> None:
         """Cancel overdue calls to silent endpoints while all slots are taken and other messages are ready.
 
-        This keeps hanging, silent and very slow destinations, and their trial calls, from taking all slots.
-        The cost is a late answer that would have arrived: calls that may not be repeated elsewhere are given
-        longer.
-        """
+        Otherwise these and trials take all slots. Late answers are lost: unrepeatable calls get longer."""
         now, stuck = self.now, list[tuple[bool, int, int, Call[Endpoint]]]()
         choices = (self.destinations[n].choice for n in self.ready) if self.overdue else ()
         healthy = (c for c in choices if c is not None and c[2].out_since is None)
         wanted_slots = sum(1 for _ in islice(healthy, len(self.overdue)))
         for call in (c for c in self.overdue if wanted_slots and not c.cancelled):
-            unsafe = any(
-                m.cls.effect is Effect.UNSAFE or m.cls.same_zone for m in call.open_attempts.values()
-            )
-            in_outage, answered_since = (
-                call.endpoint.out_since is not None,
-                call.endpoint.answered_at > call.sent_at,
-            )
-            allowed_us = call.endpoint.silence_timeout_us() * (UNSAFE_CANCEL_SILENCE_FACTOR if unsafe else 1)
-            if now - call.sent_at >= allowed_us and (answered_since or in_outage):
+            unsafe = any(m.cls.effect is Effect.UNSAFE or m.cls.same_zone for m in call.attempts.values())
+            is_out, answered = call.endpoint.out_since is not None, call.endpoint.answered_at > call.sent_at
+            allowed_us = call.endpoint.silence_us() * (UNSAFE_CANCEL_SILENCE_FACTOR if unsafe else 1)
+            if now - call.sent_at >= allowed_us and (answered or is_out):
                 stuck.append((unsafe, call.sent_at, len(stuck), call))
         for *_, call in sorted(stuck)[: wanted_slots if self.settings.cancel else 0]:
             call.cancelled = True
-            self.actions += [Cancel(ref, attempt_number) for ref, attempt_number in call.open_attempts]
+            self.actions += [Cancel(ref, attempt_number) for ref, attempt_number in call.attempts]
 
     def send(self, destination: Destination, first: Message, endpoint: Endpoint) -> None:
         """Start a call with the given message and others that can travel with it."""
         trial, limit = endpoint.out_since is not None, endpoint.shared_limit
-        # In a small fleet each sender keeps its random order, which spreads the calls. There each sender sees
-        # many calls.
-        if self.is_large_fleet:
+        if self.large_fleet:  # in a small fleet each sender keeps its random order, and sees many calls
             destination.last_turn, endpoint.preferred = endpoint.turn, False
             endpoint.turn += endpoint.stride
-        call = Call(endpoint, self.now, not endpoint.idle_connections and not endpoint.shares_connection())
+        call = Call(endpoint, self.now, not endpoint.idle and not endpoint.shares_connection())
         if limit.pace is not None:
             limit.bucket.tokens -= 1
         endpoint.record_send(self.now)
         if trial:
-            self.trial_calls[call] = None
-        if endpoint.idle_connections and not endpoint.shares_connection():
-            call.idle_us = self.now - endpoint.idle_connections[0]
+            self.trials[call] = None
+        if endpoint.idle and not endpoint.shares_connection():
+            call.idle_us = self.now - endpoint.idle[0]
             if call.idle_us > self.connection_reuse.idle_limit_us[endpoint.kind]:
                 self.disconnect(endpoint)
-                call.idle_us, call.new_connection = 0, True
-            endpoint.idle_connections = endpoint.idle_connections[:-1]
+                call.idle_us, call.connects = 0, True
+            endpoint.idle = endpoint.idle[:-1]
         endpoint.calls.append(call)
         limit.calls.append(call)
         self.calls[call] = None
         max_count = 1 if trial else self.settings.kinds.get(endpoint.kind, DestinationKind()).batch
         for message in self.take_batch(first, endpoint, destination, max_count):
             attempt_number, message.attempts_made = message.attempts_made, message.attempts_made + 1
-            call.open_attempts[message.ref, attempt_number] = message
+            call.attempts[message.ref, attempt_number] = message
             message.attempts_out.add(attempt_number)
             self.attempts[message.ref, attempt_number] = call, message
             if message.key is not None:
                 self.keys[message.key].attempts_out += 1
             timeout_us = message.deadline - self.now
             if message.cls.effect is not Effect.UNSAFE:
-                timeout_us = min(timeout_us, int(endpoint.silence_timeout_us() * TIMEOUT_SILENCE_FACTOR))
+                timeout_us = min(timeout_us, int(endpoint.silence_us() * TIMEOUT_SILENCE_FACTOR))
             self.actions.append(Send(message.ref, endpoint.target, max(1, timeout_us)))
-        self.overdue_at.set(call, self.now + int(endpoint.silence_timeout_us()) + 1)
+        self.overdue_at.set(call, self.now + int(endpoint.silence_us()) + 1)
         self.schedule_silence_check(endpoint)
 
     def take_batch(
@@ -957,9 +799,9 @@
         while len(taken) < max_count and destination.held:
             others = [
                 m
-                for cls, zone, messages in destination.held.sendable()
+                for cls, zone, group in destination.held.sendable()
                 if zone in ("", endpoint.zone)
-                for m in messages.around(urgency_breakpoints(cls, answer_at, drain_us, self.settings.halves))
+                for m in group.around(urgency_breakpoints(cls, answer_at, drain_us, self.settings.halves))
             ]
             if not others:
                 break
@@ -972,62 +814,47 @@
         for ref in self.expiries.due(self.now):
             if (message := self.messages.get(ref)) is None:
                 continue
-            if self.now >= message.deadline or (
-                not message.attempts_out and self.cannot_be_sent_again(message)
-            ):
+            if self.now >= message.deadline or (not message.attempts_out and self.cannot_resend(message)):
                 self.give_up(message)
             else:
                 self.expiries.set(ref, message.deadline)
 
     def shed(self) -> None:
-        """Refuse the least valuable messages while the sender is nearly full.
-
-        When it is full, new messages are refused whatever their worth.
-        """
+        """Refuse the least valuable messages of a nearly full sender; a full one refuses any new message."""
         if len(self.messages) <= self.settings.most_held * SHED_START_SHARE:
             if len(self.messages) <= self.settings.most_held * SHED_END_SHARE:
-                self.shed_candidates.clear()
-                self.changed_shed_candidates.clear()
+                self.by_worth.clear()
+                self.changed_worth.clear()
             return
-        if not self.shed_candidates:
-            self.changed_shed_candidates = dict.fromkeys(self.waiting)
-        for changed in list(islice(self.changed_shed_candidates, MAX_WEIGHED_PER_ROUND)):
-            del self.changed_shed_candidates[changed]
-            self.refresh_shed_candidate(changed)
+        if not self.by_worth:
+            self.changed_worth = dict.fromkeys(self.waiting)
+        for changed in list(islice(self.changed_worth, MAX_REVALUED_COUNT)):
+            del self.changed_worth[changed]
+            self.revalue(changed)
         while len(self.messages) > self.settings.most_held * SHED_START_SHARE:
-            if (
-                number := self.shed_candidates.first_refreshed(
-                    self.now - 1, MAX_REFRESH_COUNT, self.refresh_shed_candidate
-                )
-            ) is None:
+            if (number := self.by_worth.first_refreshed(self.now - 1, MAX_REFRESHES, self.revalue)) is None:
                 return
-            if (least := self.least_valuable(self.destinations[number])) is not None:
+            if (least := self.cheapest(self.destinations[number])) is not None:
                 self.give_up(least)
-            self.refresh_shed_candidate(number)
+            self.revalue(number)
 
-    def refresh_shed_candidate(self, number: int) -> None:
+    def revalue(self, number: int) -> None:
         """Refresh the position of a destination by its least valuable message."""
-        if (destination := self.waiting.get(number)) is None or (
-            candidate := self.least_valuable(destination)
-        ) is None:
-            self.shed_candidates.drop(number)
+        if (destination := self.waiting.get(number)) is None or (least := self.cheapest(destination)) is None:
+            self.by_worth.drop(number)
             return
-        worth = candidate.value(self.now + self.drain_us(destination), self.settings.halves)
-        self.shed_candidates.set(number, (worth, -candidate.deadline, number), self.now)
+        worth = least.value(self.now + self.drain_us(destination), self.settings.halves)
+        self.by_worth.set(number, (worth, -least.deadline, number), self.now)
 
-    def least_valuable(self, destination: Destination) -> Message | None:
-        """Return the held message with the least worth once the others have drained.
+    def cheapest(self, destination: Destination) -> Message | None:
+        """Return the held message with the least worth once the others have drained; of equals, the latest.
 
-        Of equal messages it is the one with the latest deadline. In each group the candidate is the last
-        message that will expire by then, else the oldest one that loses worth, else the last.
-        """
+        In each group: the last one to expire by then, else the oldest one that loses worth, else the last."""
         drained_at, halves = self.now + self.drain_us(destination), self.settings.halves
         candidates = list[Message]()
-        for messages in destination.held.refusable():
-            expired_count, losing = messages.before(drained_at), messages[0].aim_at < drained_at
-            candidates.append(
-                messages[expired_count - 1] if expired_count else messages[0] if losing else messages[-1]
-            )
+        for group in destination.held.refusable():
+            expired, losing = group.before(drained_at), group[0].aim_at < drained_at
+            candidates.append(group[expired - 1] if expired else group[0] if losing else group[-1])
         return min(candidates, key=lambda m: (m.value(drained_at, halves), -m.deadline), default=None)
 
     def may_refuse(self, message: Message) -> bool:
@@ -1050,16 +877,11 @@
 
     def arm_timer(self) -> None:
         """Keep one timer armed for the next event that is due."""
-        slots_full = len(self.calls) >= self.settings.slots
-        queues = (
-            self.expiries,
-            self.silence_checks,
-            self.key_rests,
-            self.overdue_at if slots_full else self.openings,
-        )
+        full = len(self.calls) >= self.settings.slots
+        queues = (self.expiries, self.silences, self.key_rests, self.overdue_at if full else self.openings)
         due_times = [self.list_watch.next_request_at, self.gossip.next_at()]
         due_times += [at for a in queues if (at := a.next_at()) is not None]
-        due_times += [self.now + 1] if self.changed and not slots_full else []
+        due_times += [self.now + 1] if self.changed and not full else []
         earliest = min((t for t in due_times if t > self.now), default=NEVER)
         if earliest < self.armed_at and earliest < NEVER:
             self.token, self.armed_at = self.token + 1, earliest
--- a/rowanspindle/pacing.py
+++ b/rowanspindle/pacing.py
@@ -74,15 +74,10 @@
 class SharedLimit:
     """The limit shared by the endpoints of a destination, or that of one endpoint where each has its own."""
 
-    def __init__(
-        self, settings: Settings, rate: float, own_rate: float, now: int, tokens: float = 1.0
-    ) -> None:
-        self.replicas, self.own_rate = (
-            settings.replicas,
-            RateEstimator(now, RATE_MEMORY_S, INITIAL_RATE_WEIGHT),
-        )
+    def __init__(self, settings: Settings, rate: float, own: float, now: int, tokens: float = 1.0) -> None:
+        self.replicas, self.own = settings.replicas, RateEstimator(now, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
         self.rate_is_measured = rate <= 0 or not settings.weights_told
-        self.weight = max(own_rate * self.replicas if self.rate_is_measured else rate, 0.1)
+        self.weight = max(own * self.replicas if self.rate_is_measured else rate, 0.1)
         max_window = max(2.0, settings.slots * MAX_SLOT_SHARE)
         self.window = ConcurrencyWindow(
             MIN_START_WINDOW_CALLS + self.weight / self.replicas,
@@ -93,7 +88,7 @@
         self.calls: list[Call[Endpoint]] = []
         # The number of listed endpoints that share it, and the limit reported by answers.
         self.routes, self.reported_limit = 0, 0.0
-        self.opens_at, self.consecutive_refusals, self.last_refusal_at = 0, 0, -1
+        self.opens_at, self.refusals, self.last_refusal_at = 0, 0, -1
         # Calls per second of all senders while a limit is evident. It is set from the start if the limit is
         # configured and refusals have a price.
         limit_is_known = settings.weights_exact and settings.refused_price > 0 and not self.rate_is_measured
@@ -111,7 +106,7 @@
             max(age_us, int(REPORTED_LIMIT_MIN_AGE_S * SECOND_US)) if self.reported_limit else age_us,
         )
 
-    def next_token_at(self, now: int, senders: float, refusals_heard: bool) -> int:
+    def next_token(self, now: int, senders: float, refusals_heard: bool) -> int:
         """Return when the pace, shared with the other senders that have work, permits the next call.
 
         Where the refusals of others are known from gossip, the pace rises with the time since the last
@@ -156,15 +151,15 @@
         # Calls in flight together are refused together: that counts as one refusal.
         same_burst = sent_at <= self.last_refusal_at
         self.last_refusal_at = now
-        self.consecutive_refusals += not same_burst
-        wait = wait_us or INITIAL_BACKOFF_S * SECOND_US * 2 ** min(self.consecutive_refusals - 1, 3)
-        if out_of_connections and self.consecutive_refusals <= SHORTAGE_REFUSAL_COUNT:
+        self.refusals += not same_burst
+        wait = wait_us or INITIAL_BACKOFF_S * SECOND_US * 2 ** min(self.refusals - 1, 3)
+        if out_of_connections and self.refusals <= SHORTAGE_REFUSAL_COUNT:
             # No connection was left, which does not show a rate limit.
             self.opens_at = max(self.opens_at, now + int(wait * (0.5 + rng.random())))
             return
         if not same_burst:
             self.cut_pace()
-        senders = min(self.replicas, max(senders, 2 ** min(self.consecutive_refusals, 8)))
+        senders = min(self.replicas, max(senders, 2 ** min(self.refusals, 8)))
         others_us = (senders - 1) / (self.pace or self.weight) * SECOND_US
         spread_us = (
             max(min(wait, INITIAL_BACKOFF_S * SECOND_US * 2) * BACKOFF_JITTER, others_us) * rng.random()
@@ -199,7 +194,7 @@
 
     def record_answer(self) -> None:
         """Record an answer: the pace rises until no limit is evident any more."""
-        self.consecutive_refusals = 0
+        self.refusals = 0
         if self.pace is not None and not self.rises_with_time:
             raised = self.pace + self.weight * PACE_RISE_SHARE * min(self.replicas, PACE_RISE_SENDER_COUNT)
             raised = (
--- a/rowanspindle/slow_start.py
+++ b/rowanspindle/slow_start.py
@@ -43,7 +43,7 @@
         # Trial calls of this outage and calls of the slow start after it, for the log.
         self.trials_sent = self.cold_calls = 0
 
-    def even_share_rate(self) -> float:
+    def even_rate(self) -> float:
         """Return an even share of the destination's rate, in calls per second of all senders."""
         raise NotImplementedError
 
@@ -80,7 +80,7 @@
         self.ramp_from, self.grace_until = NEVER, now + self._settings.fall_us
         self.ramp_bucket.tokens, self.ramp_bucket.filled_at = rng.random(), self.grace_until
 
-    def end_suspicion(self, now: int, sent_at: int, confirmed: bool) -> bool:
+    def reinstate(self, now: int, sent_at: int, confirmed: bool) -> bool:
         """End the suspicion after an answer. Return whether a slow start begins, as it may have been out."""
         self.ramp_from = now if confirmed and sent_at >= self.grace_until else None
         return self.ramp_from is not None
@@ -119,7 +119,7 @@
         settings = self._settings
         elapsed = 0.0 if self.ramp_from is None else max(0, now - self.ramp_from) / settings.ramp_us
         share = min(1.0, settings.cold_share + (1 - settings.cold_share) * elapsed)
-        budget = BUDGET_USED_SHARE * settings.overload_factor * share * self.even_share_rate()
+        budget = BUDGET_USED_SHARE * settings.overload_factor * share * self.even_rate()
         return budget / (active_senders or self._settings.replicas)
 
     def trial_rate(self, now: int) -> float:
@@ -128,7 +128,7 @@
         rate = max(TRIAL_BUDGET_SHARE * self.cold_rate(now), min_rate)
         return min(rate, 1 / MIN_TRIAL_INTERVAL_S)
 
-    def next_send_at(self, now: int, active_senders: float | None) -> int:
+    def next_send(self, now: int, active_senders: float | None) -> int:
         """Return when the outage or slow start of the endpoint permits the next call."""
         if self.out_since is not None:
             return self.ramp_bucket.next_at(now, self.trial_rate(now), 1.0)
--- a/rowanspindle/state.py
+++ b/rowanspindle/state.py
@@ -63,12 +63,12 @@
 class Call(Generic[E]):
     """One call in flight to one endpoint: one or more messages with a common result."""
 
-    def __init__(self, endpoint: E, now: int, new_connection: bool) -> None:
+    def __init__(self, endpoint: E, now: int, connects: bool) -> None:
         self.endpoint, self.sent_at = endpoint, now
         self.learned_from = self.cancelled = False
         self.idle_us = 0  # how long the connection that the call may have used was idle
-        self.new_connection = new_connection  # the call needs a new connection
-        self.open_attempts: dict[tuple[int, int], Message] = {}
+        self.connects = connects  # the call needs a new connection
+        self.attempts: dict[tuple[int, int], Message] = {}
 
 
 class ForwarderState(Generic[E, G]):
@@ -76,7 +76,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng = settings, Random(seed)
-        # Spreads what many senders would otherwise begin at the same time
+        # Spreads what many senders would otherwise begin at the same time.
         self.startup_rng = Random(f"{seed} starts")
         self.now, self.actions = 0, list[Action]()
         self.messages: dict[int, Message] = {}
@@ -86,19 +86,19 @@
         self.endpoints_by_digest: dict[int, E] = {}  # by the digest that gossip notes use
         self.keys: dict[str, KeyQueue] = {}
         self.calls: dict[Call[E], None] = {}
-        self.trial_calls: dict[Call[E], None] = {}  # calls in flight to endpoints in an outage
+        self.trials: dict[Call[E], None] = {}  # calls in flight to endpoints in an outage
         self.waiting: dict[int, DestinationState[E, G]] = {}
         self.changed: dict[int, None] = {}  # destinations that changed since their last pick
-        # Destinations that changed since their shedding candidate was determined
-        self.changed_shed_candidates: dict[int, None] = {}
+        # Destinations that changed since by_worth was updated for them.
+        self.changed_worth: dict[int, None] = {}
         self.ready: PriorityQueue[int] = PriorityQueue()  # destinations with a pick, the most urgent first
         # Destinations while the sender is nearly full, those with the least valuable messages first.
-        self.shed_candidates: PriorityQueue[int] = PriorityQueue()
+        self.by_worth: PriorityQueue[int] = PriorityQueue()
         # When a destination without a pick may have one.
         self.openings: DeadlineQueue[int] = DeadlineQueue()
         # When a message expires or may not be sent again.
         self.expiries: DeadlineQueue[int] = DeadlineQueue()
-        self.silence_checks: DeadlineQueue[E] = DeadlineQueue()
+        self.silences: DeadlineQueue[E] = DeadlineQueue()
         # When a call will have been in flight for longer than the silence time-out.
         self.overdue_at: DeadlineQueue[Call[E]] = DeadlineQueue()
         self.overdue: dict[Call[E], None] = {}  # calls in flight for longer than the silence time-out
@@ -106,12 +106,12 @@
         self.removals: DeadlineQueue[E] = DeadlineQueue()  # when an unlisted endpoint may be forgotten
         self.unlisted: dict[str, E] = {}
         self.recovering: dict[E, None] = {}  # endpoints in an outage or slow start; some may have ended
-        # Outages of endpoints that are not listed, and until when they are taken to be valid
+        # Outages of endpoints that are not listed, and until when they are taken to be valid.
         self.known_outages: dict[str, tuple[Outage, int]] = {}
         self.changed_lists: set[int] = set()  # destinations whose endpoint list changed in this round
-        self.recently_answered: dict[E, None] = {}
-        self.zone_latency: dict[str, RunningMean] = {}  # answer times of each zone
-        self.refusal_latency: dict[str, RunningMean] = {}  # times of refusals of each zone
+        self.answered: dict[E, None] = {}  # endpoints with a connection that may be closed as idle
+        self.zone_times: dict[str, RunningMean] = {}  # answer times of each zone
+        self.refusal_times: dict[str, RunningMean] = {}  # times of refusals of each zone
         self.own_rate = RateEstimator(NEVER, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
         self.connection_reuse = ConnectionReuse(settings)
         self.quota = {
@@ -121,13 +121,13 @@
         self.list_watch, self.gossip = ListWatch(settings), Gossip(settings, Random(f"{seed} tells").random())
 
     def mark_changed(self, number: int) -> None:
-        """Mark a destination as changed, which invalidates its pick and its shedding candidate."""
+        """Mark a destination as changed, which invalidates its pick and its place in by_worth."""
         if (destination := self.destinations.get(number)) is not None:
             self.gossip.update_held(number, len(destination.held), destination.held.since)
         if number in self.waiting:
             self.changed[number] = None
-            if self.shed_candidates or self.changed_shed_candidates:
-                self.changed_shed_candidates[number] = None
+            if self.by_worth or self.changed_worth:
+                self.changed_worth[number] = None
 
     def refresh_key(self, key: str) -> None:
         """Update a message key after a change: its first message may be in turn now, or no longer."""
--- a/tests/test_measured.py
+++ b/tests/test_measured.py
@@ -6,7 +6,7 @@
 
 from rowanspindle import Disconnect, EndpointListUpdate, Result, Send, UpdateScope
 from rowanspindle.data_structures import RunningMean
-from rowanspindle.logic import LATENCY_SMOOTHING_FACTOR
+from rowanspindle.logic import SMOOTHING
 from tests.helpers import SECOND_US, Caller, member
 
 
@@ -132,7 +132,7 @@
     """Count the calls to the near zone before the first to a zone that takes twice as long to answer."""
     caller = Caller(member("near", zone="z"), member("far", zone="y"), member("other", dest=2))
     for zone, us in ("z", 50_000.0), ("y", 100_000.0):
-        usual = caller.forwarder.zone_latency[zone] = RunningMean(LATENCY_SMOOTHING_FACTOR)
+        usual = caller.forwarder.zone_times[zone] = RunningMean(SMOOTHING)
         for _ in range(40):
             usual.add(us)
     for _ in range(others):
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -144,7 +144,7 @@
     destination = forwarder.destinations[1]
     destination.held = waiting(cls, lefts, forwarder.now)
     drained = forwarder.now + forwarder.drain_us(destination)
-    least = forwarder.least_valuable(destination)
+    least = forwarder.cheapest(destination)
     everything = [line[n] for line in destination.held.refusable() for n in range(len(line))]
     assert least is not None
     best = min((m.value(drained, False), -m.deadline) for m in everything)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -320,9 +320,9 @@
     caller = Caller(member("t1"), most_held=10)
     caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
     valuable = [caller.accept("unsafe") for _ in range(5)]
-    least_valuable = [caller.accept("safe") for _ in range(6)]
+    least_worth = [caller.accept("safe") for _ in range(6)]
     assert not any(r in caller.ended for r in valuable)
-    assert "Refuse" in {caller.ended.get(r) for r in least_valuable}
+    assert "Refuse" in {caller.ended.get(r) for r in least_worth}
 
 
 def test_lost_unsafe_call_holds_no_permit_and_releases_its_slot() -> None:
@@ -374,7 +374,7 @@
         caller.wait(SECOND_US)
         caller.end(other, latency_us=SECOND_US)
         caller.accept(cls, dest=1)
-        silence = caller.forwarder.endpoints["t1"].silence_timeout_us()
+        silence = caller.forwarder.endpoints["t1"].silence_us()
         caller.wait(int(silence) - SECOND_US + SECOND_US // 10)
         caller.accept(dest=3)
         assert any(isinstance(a, Cancel) for _, a in caller.log) is called_off
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -123,7 +123,7 @@
     endpoint, end = caller.forwarder.endpoints["a"], caller.now + LONG_US
     endpoint.end_outage(caller.now, True, Random(1))
     getattr(endpoint, method)(end, end, Random(1))
-    assert endpoint.next_send_at(end, None) > end
+    assert endpoint.next_send(end, None) > end
 
 
 def test_trial_calls_of_a_fleet_that_learns_at_once_stay_within_the_budget() -> None:
