--- a/rowanspindle/logic.py
+++ b/rowanspindle/logic.py
@@ -309,10 +309,9 @@
                 )
                 warm = self.large_fleet and any(e.is_warm(self.now) for e in destination.endpoints.values())
                 first = warm and self.rng.random() * (len(destination.endpoints) + 1) < 1
-                passed_share = (destination.last_turn > 0) / max(
-                    1, len(destination.endpoints)
-                )  # the last called
-                turn = destination.last_turn + self.rng.random() * (1 + passed_share)
+                # As a share of a turn: the endpoint called last counts as passed.
+                passed = (destination.last_turn > 0) / max(1, len(destination.endpoints))
+                turn = destination.last_turn + self.rng.random() * (1 + passed)
                 destination.shared_limit, endpoint = limit, Endpoint(entry, limit, self.settings, turn, first)
                 self.endpoints[entry.target] = destination.endpoints[entry.target] = endpoint
                 self.endpoints_by_digest[endpoint_digest(entry.target)] = endpoint
@@ -338,10 +337,11 @@
         return self.startup_rng.random() if self.large_fleet else 1.0
 
     def update_measured_rate(self, destination: Destination) -> None:
-        """Update the rate estimate of a destination without a configured rate from own answered calls.
+        """Estimate the rate of a destination without a configured one: own answered calls times senders.
 
         Over all senders it adds up to what the destination answers: each is paced at about its own rate, or
-        at one call per age of its work. Outages and slow starts do not count: they do not change that."""
+        at one call per age of its work. Outages and slow starts do not count: they do not change what the
+        destination can take."""
         for endpoint in destination.endpoints.values():
             limit = endpoint.shared_limit
             if endpoint.out_since is not None or endpoint.ramp_from is not None:
