--- a/rowanrack/model/sender.py
+++ b/rowanrack/model/sender.py
@@ -13,7 +13,7 @@
 from rowanrack.model.history import Entry, History
 from rowanrack.model.network import Network
 from rowanrack.model.partner import Place
-from rowanrack.store.memory import MemoryStore, Shelf
+from rowanrack.store.memory import MemoryStore, MessageState
 from rowanspindle import Outage, Result, Settings
 from rowanspindle.gossip import Gossip
 from rowanspindle.notes import Note, decode_note
@@ -60,7 +60,7 @@
     ) -> None:
         self.number, self.zone, self.settings, self.tick_us, self.seed = number, zone, settings, tick_us, seed
         self.engine, self.network, self.history, self.places = engine, network, history, places
-        self.discovery, self.shelf, self.life = discovery, Shelf(), object()
+        self.discovery, self.shelf, self.life = discovery, MessageState(), object()
         self.handshakes = self.crossings = self.lives = 0
         self.alive, self.some = False, min(NOTES_TO, settings.replicas - 1)
         self._wake: WheelTimer | None = None
--- a/rowanrack/store/__init__.py
+++ b/rowanrack/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlasts the process."""
+"""Stores whose content survives a restart of the process."""
--- a/rowanrack/store/bans.py
+++ b/rowanrack/store/bans.py
@@ -1,4 +1,7 @@
-"""Detached endpoints on disk: the bans outlast the process; both processes of a hot restart share them."""
+"""The set of detached endpoints (bans) on disk.
+
+It survives a restart, and both processes of a hot restart share it.
+"""
 
 from __future__ import annotations
 
@@ -6,52 +9,52 @@
 import logging
 from pathlib import Path
 
-from rowanrack.store.whole_file import Stamp, replace, stamp_of
+from rowanrack.store.whole_file import FileVersion, file_version, replace_file
 
 log = logging.getLogger(__name__)
 
-FILE = "detached.json"
-UNREAD: Stamp = (-1, -1, -1)
+FILE_NAME = "detached.json"
+NEVER_READ: FileVersion = (-1, -1, -1)
 
 
 class BanFile:
-    """The set of detached endpoints in the folder that lasts; written whole, read when it has changed."""
+    """The set of detached endpoints in the state folder; it is read again when another process changes it."""
 
     def __init__(self, folder: Path) -> None:
-        self.path = folder / FILE
-        self._seen: Stamp | None = UNREAD
-        self._failing = False  # the last look could not read it
+        self.path = folder / FILE_NAME
+        self._known_version: FileVersion | None = NEVER_READ
+        self._reported_failure = False  # the last read failed, and that was logged
 
-    def _stamp(self) -> Stamp | None:
-        """What tells one version of the file from another, however soon it follows; None if there is none."""
+    def _current_version(self) -> FileVersion | None:
+        """Return the version of the file, or None if it does not exist."""
         try:
-            return stamp_of(self.path)
+            return file_version(self.path)
         except FileNotFoundError:
             return None
 
     def changed(self) -> set[str] | None:
-        """The bans as they stand, if the file has changed since it was last read or written here."""
+        """Return the detached endpoints if the file changed since the last read or write here, else None."""
         try:
-            if (stamp := self._stamp()) == self._seen:
+            if (version := self._current_version()) == self._known_version:
                 return None
-            raw = b"[]" if stamp is None else self.path.read_bytes()
+            raw = b"[]" if version is None else self.path.read_bytes()
         except OSError as error:
-            # Not seen: the next look tries again. Guards against bans that a process short of descriptors
-            # would not heed until somebody changes them.
-            if not self._failing:
-                log.error("%s: not read yet, the bans stay as they were: %s", self.path.name, error)
-            self._failing = True
+            # The version is not recorded as known, so the next call reads the file again. Otherwise a process
+            # that ran out of descriptors would ignore the set until the next change.
+            if not self._reported_failure:
+                log.error("%s: cannot be read, detached endpoints stay unchanged: %s", self.path.name, error)
+            self._reported_failure = True
             return None
-        self._seen, self._failing = stamp, False
+        self._known_version, self._reported_failure = version, False
         try:
             names = json.loads(raw.decode("utf-8"))
             if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-                raise ValueError("not a list of names")
+                raise ValueError("expected a list of endpoint names")
         except (ValueError, RecursionError) as error:
-            log.error("%s: not read, the bans stay as they were: %s", self.path.name, error)
+            log.error("%s: invalid content, detached endpoints stay unchanged: %s", self.path.name, error)
             return None
         return set(names)
 
     def write(self, bans: set[str]) -> None:
-        """Replace the file at once: a reader sees the old set or the new one. Raises OSError: the old one."""
-        self._seen = replace(self.path, json.dumps(sorted(bans)))
+        """Replace the set atomically. Raises OSError; the old set then stays."""
+        self._known_version = replace_file(self.path, json.dumps(sorted(bans)))
--- a/rowanrack/store/journal.py
+++ b/rowanrack/store/journal.py
@@ -1,17 +1,18 @@
-"""The durable journal: append-only, checksummed records of every message taken and of what became of it.
+"""The durable journal: append-only, checksummed records of accepted messages, their attempts and their ends.
 
-A record is its payload's length and CRC-32, then the payload: a type byte, the message's id, and what the
-type adds. Writes go straight to the kernel, which outlasts the process; nothing is synced.
+A record consists of the payload's length, its CRC-32 and the payload: a type byte, the message's id and
+fields that depend on the type. Writes go to the kernel, so they survive the end of the process; there is no
+fsync.
 
-A message is taken only when the disk has given room for all that may have to be said of it: its attempts,
-its end, and the word that its client was told. That room lies ahead of the records (see `journal_file`),
-counts in the budget, and comes in pieces of `PIECE` bytes. On a disk that is full from elsewhere nothing
-new is taken, and what is owed goes on to its end in the room that it has.
+A message is accepted only once disk space is reserved for every record that it may still need: its attempts,
+its end, and the confirmation of its notice. The reserved space follows the records (see `journal_file`),
+counts towards the budget, and grows in units of `RESERVATION_BYTES`. When other data fills the disk, no new
+messages are accepted, and messages that are already owed are completed in their reserved space.
 
-Should even that room fail, nothing begins any more; proofs, ends and told words, which have happened and
-cannot be refused, wait in memory and are written, in order, before anything else. An end is given to its
-client meanwhile, for it is owed in time: only a kill before the disk writes again, with the reserved room
-failed too, lets a message be owed again that has its end.
+If writes into the reserved space fail as well, no attempt begins. Records of events that have already
+happened (an attempt that never ran, an end, a confirmed notice) cannot be refused. They are queued in memory
+and written, in order, before any other record; clients still get their answers in time. A message that has
+ended is owed again only if the process is killed before the queued records are written.
 """
 
 from __future__ import annotations
@@ -30,175 +31,188 @@
 from pathlib import Path
 
 from rowanrack.core.messages import End, Ending, Message
-from rowanrack.store.journal_file import BLOCK, JournalFile, blocks
+from rowanrack.store.journal_file import BLOCK_BYTES, JournalFile, round_up_to_blocks
 
 log = logging.getLogger(__name__)
 
 MAGIC = b"rowanrack journal 1\n"
-SLOTS = ("messages", "messages.b")  # one file for each of the two processes of a hot restart
-OPEN_TRIES, OPEN_PAUSE_S = 20, 0.01  # a slot held for a look is free again within microseconds
-FRAME = struct.Struct("<II")
-TIMED = 12  # bytes of an attempt's number with its time
-LONGEST = 1 << 20  # bytes of a payload; a longer length is damage
-STEP, STEP_TIME, END = 17, 8, 42  # bytes of a record beside its texts
-PIECE = 16 * 1024  # bytes in which room is asked of the disk
-MARGIN = 8 * BLOCK
-AGAIN_US = 1_000_000  # after a compaction or a take-over that failed, before the next try
-TIDY_EACH = 256  # ends between two looks for those that need not be kept any more
-TIDY_US = 1_000_000  # ends whose time is over within one such span are looked at together
-COMPACT_LEAST = 64 * 1024  # bytes of dead records before a compaction is worth its while
+SLOT_NAMES = ("messages", "messages.b")  # one file for each of the two processes of a hot restart
+OPEN_TRY_COUNT, OPEN_PAUSE_S = 20, 0.01  # the other process may hold a slot briefly to test it
+RECORD_HEADER = struct.Struct("<II")
+TIMED_ATTEMPT_BYTES = 12  # an attempt number followed by its time
+MAX_PAYLOAD_BYTES = 1 << 20  # a header that gives a longer payload is treated as damaged
+# Record sizes without their variable-length texts.
+STATUS_RECORD_BYTES, ATTEMPT_TIME_BYTES, END_RECORD_BYTES = 17, 8, 42
+RESERVATION_BYTES = 16 * 1024  # unit in which disk space is reserved
+BUDGET_MARGIN_BYTES = 8 * BLOCK_BYTES
+RETRY_DELAY_US = 1_000_000  # wait after a failed compaction or take-over
+EXPIRY_CHECK_END_COUNT = 256  # expired ends are removed after this number of new ends
+EXPIRY_SPAN_US = 1_000_000  # ends that expire within one span are removed together
+MIN_COMPACTION_BYTES = 64 * 1024  # a journal is compacted above this size plus three times its live records
 
 TAKEN, BEGUN, NEVER_RAN, ENDED, TOLD = b"T", b"B", b"N", b"E", b"K"
-KEYED = b"Y"  # a taken message with a key; one without is recorded as ever, and old records are still read
-ENDINGS = {Ending.DELIVERED: b"d", Ending.REFUSED: b"r", Ending.FAILED: b"f", Ending.OVER: b"o"}
-ENDING_OF = {code: ending for ending, code in ENDINGS.items()}
+TAKEN_WITH_KEY = b"Y"  # a message without a key uses `TAKEN`, the record type of older versions
+ENDING_CODES = {Ending.DELIVERED: b"d", Ending.REFUSED: b"r", Ending.FAILED: b"f", Ending.OVER: b"o"}
+ENDINGS_BY_CODE = {code: ending for ending, code in ENDING_CODES.items()}
 
 
 class JournalError(Exception):
-    """The journal cannot be used; the text says why."""
+    """The journal cannot be used; the text gives the reason."""
 
 
-def pack_text(*parts: bytes) -> bytes:
-    """Byte strings, each behind its length."""
-    return b"".join(struct.pack("<I", len(p)) + p for p in parts)
+def encode_byte_strings(*byte_strings: bytes) -> bytes:
+    """Encode byte strings, each preceded by its length."""
+    return b"".join(struct.pack("<I", len(s)) + s for s in byte_strings)
 
 
-def unpack_text(data: bytes, count: int) -> tuple[list[bytes], bytes]:
-    """So many byte strings, and what is left."""
-    parts: list[bytes] = []
+def decode_byte_strings(data: bytes, count: int) -> tuple[list[bytes], bytes]:
+    """Decode `count` byte strings; return them and the remaining data."""
+    byte_strings: list[bytes] = []
     for _ in range(count):
         (size,) = struct.unpack_from("<I", data)
         if len(data) < 4 + size:
-            raise ValueError("a text is cut off")
-        parts.append(data[4 : 4 + size])
+            raise ValueError("a byte string is truncated")
+        byte_strings.append(data[4 : 4 + size])
         data = data[4 + size :]
-    return parts, data
+    return byte_strings, data
 
 
-def frame(payload: bytes) -> bytes:
-    """A record as it stands in the file."""
-    return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
+def encode_record(payload: bytes) -> bytes:
+    """Encode a payload as a record of the file."""
+    return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def records(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """The whole records from the start, each with the offset behind it; ends at the first damaged one."""
-    at = len(MAGIC)
-    while at + FRAME.size <= len(data):
-        size, crc = FRAME.unpack_from(data, at)
-        payload = data[at + FRAME.size : at + FRAME.size + size]
-        if not 0 < size <= LONGEST or len(payload) < size or zlib.crc32(payload) != crc:
+def read_records(data: bytes) -> Iterator[tuple[int, bytes]]:
+    """Yield the payload of each valid record with its end offset, up to the first damaged record."""
+    offset = len(MAGIC)
+    while offset + RECORD_HEADER.size <= len(data):
+        size, crc = RECORD_HEADER.unpack_from(data, offset)
+        payload = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + size]
+        if not 0 < size <= MAX_PAYLOAD_BYTES or len(payload) < size or zlib.crc32(payload) != crc:
             return
-        at += FRAME.size + size
-        yield at, payload
-
-
-def taken_record(m: Message) -> bytes:
-    """The record of a taken message."""
-    texts = (m.cls, m.tenant, m.front, m.form)
-    fixed = struct.pack("<qq", m.deadline_us, m.dest)
-    if m.key:
-        return KEYED + pack_text(m.id.encode(), *(t.encode() for t in texts), m.body, m.key.encode()) + fixed
-    return TAKEN + pack_text(m.id.encode(), *(t.encode() for t in texts), m.body) + fixed
+        offset += RECORD_HEADER.size + size
+        yield offset, payload
+
+
+def encode_taken(message: Message) -> bytes:
+    """Encode the payload for an accepted message."""
+    texts = (message.cls, message.tenant, message.front, message.form)
+    fixed = struct.pack("<qq", message.deadline_us, message.dest)
+    if message.key:
+        return (
+            TAKEN_WITH_KEY
+            + encode_byte_strings(
+                message.id.encode(), *(t.encode() for t in texts), message.body, message.key.encode()
+            )
+            + fixed
+        )
+    return (
+        TAKEN + encode_byte_strings(message.id.encode(), *(t.encode() for t in texts), message.body) + fixed
+    )
 
 
-def step_record(kind: bytes, message_id: str, leg: int) -> bytes:
-    """The record of an attempt begun, or proved never to have run."""
-    return kind + pack_text(message_id.encode()) + struct.pack("<I", leg)
+def encode_status(kind: bytes, message_id: str, attempt_number: int) -> bytes:
+    """Encode a payload that refers to one attempt, or, with attempt number 0, to the message."""
+    return kind + encode_byte_strings(message_id.encode()) + struct.pack("<I", attempt_number)
 
 
-def begun_record(message: Message, leg: int, at_us: int) -> bytes:
-    """The record of an attempt begun; where a key's time counts, with when that was."""
+def encode_begun(message: Message, attempt_number: int, at_us: int) -> bytes:
+    """Encode the payload for the start of an attempt, with its time if the message has a key."""
     timed = struct.pack("<q", at_us) if message.key else b""
-    return step_record(BEGUN, message.id, leg) + timed
+    return encode_status(BEGUN, message.id, attempt_number) + timed
 
 
 @dataclass(slots=True)
-class Ended:
-    """A recorded end, kept until its time; `told` once the platform has confirmed its notice.
+class RecordedEnd:
+    """The recorded end of a message, kept until `keep_until_us`.
 
-    A refusal is the answer only until its time to come again: then the same id may be handed in anew.
+    `told` is set once the platform has confirmed the notice of the end. A refusal answers repeated
+    submissions only until `resubmit_at_us`; after that, the same id may be submitted again.
     """
 
     end: End
     front: str
     keep_until_us: int
-    again_us: int
+    resubmit_at_us: int
     told: bool = False
 
     @property
     def untold(self) -> bool:
-        """Whether its notice may still have to be sent."""
+        """Whether its notice is required and not yet confirmed."""
         return not self.told and self.end.ending in (Ending.REFUSED, Ending.FAILED)
 
-    def record(self, message_id: str) -> bytes:
-        """As it stands in the journal."""
-        times = (self.end.retry_us, self.keep_until_us, self.again_us)
-        fixed = ENDINGS[self.end.ending] + struct.pack("<qqq", *times)
-        return ENDED + pack_text(message_id.encode(), self.front.encode()) + fixed
+    def encode(self, message_id: str) -> bytes:
+        """Encode the payload for the end."""
+        times = (self.end.retry_us, self.keep_until_us, self.resubmit_at_us)
+        fixed = ENDING_CODES[self.end.ending] + struct.pack("<qqq", *times)
+        return ENDED + encode_byte_strings(message_id.encode(), self.front.encode()) + fixed
 
-    def parts(self, message_id: str) -> list[bytes]:
-        """The records that say all that is known of it."""
-        told = [frame(step_record(TOLD, message_id, 0))] if self.told else []
-        return [frame(self.record(message_id)), *told]
+    def records(self, message_id: str) -> list[bytes]:
+        """Return the records that describe the end completely."""
+        told_records = [encode_record(encode_status(TOLD, message_id, 0))] if self.told else []
+        return [encode_record(self.encode(message_id)), *told_records]
 
 
 @dataclass(slots=True)
 class Journal:
-    """The journal in one folder, never larger than its budget, a compaction's second file counted."""
+    """The journal in one folder. It takes at most `budget` bytes, with the second file of a compaction."""
 
     folder: Path
     budget: int
     unix_us: Callable[[], int]
-    keep_us: int = 30_000_000  # for how long an end is kept past its message's time
-    keep_us_of: Mapping[str, int] = field(default_factory=dict)  # the same for a front that needs another
-    attempts: int = 6  # attempts that a message may have
+    keep_us: int = 30_000_000  # how long an end is kept after its message's deadline
+    keep_us_of: Mapping[str, int] = field(default_factory=dict)  # overrides of `keep_us` by front
+    attempts: int = 6  # most attempts of one message
     owed: dict[str, Message] = field(default_factory=dict)
-    ends: dict[str, Ended] = field(default_factory=dict)
+    ends: dict[str, RecordedEnd] = field(default_factory=dict)
     file: JournalFile | None = None
-    live: int = 0  # bytes that a compaction writes at most
-    promised: int = 0  # bytes that may still have to be written for what is known
-    _books: dict[str, tuple[int, int]] = field(default_factory=dict)  # the same two for each message
-    _ended: int = 0
-    _spans: dict[int, list[str]] = field(default_factory=dict)  # ids by the span in which their end lapses
-    slot: str = SLOTS[0]
+    compacted_bytes: int = 0  # upper bound of the bytes of records that a compaction writes
+    pending_bytes: int = 0  # bytes of records that the known messages may still need
+    # The shares of a message, by its id, in `compacted_bytes` and `pending_bytes`.
+    _byte_counts: dict[str, tuple[int, int]] = field(default_factory=dict)
+    _end_count: int = 0
+    _expiry_spans: dict[int, list[str]] = field(
+        default_factory=dict
+    )  # ids by the span in which their end expires
+    slot: str = SLOT_NAMES[0]
     lock_fd: int = -1
-    absorbed: list[str] = field(default_factory=list)  # ends taken over from the other slot
-    _taken_over: list[Message] = field(default_factory=list)  # recorded here, while their old file is there
+    absorbed: list[str] = field(default_factory=list)  # ids of the ends taken over from the other slot
+    _taken_over: list[Message] = field(default_factory=list)  # recorded here; their old file still exists
     _unwritten: deque[bytes] = field(default_factory=deque)
-    _stuck: bool = False  # the last record was not written
-    trouble: str = ""  # why nothing new is taken; empty while all is well
-    _trouble_us: int = 0
-    _wanted: int = PIECE  # bytes of room that end the trouble
-    _compact_us: int = 0  # no compaction before then: the last one failed
-    _absorb_us: int = 0
+    _write_failed: bool = False  # the last write failed
+    trouble: str = ""  # why no new messages are accepted; empty if they are
+    _trouble_since_us: int = 0
+    _needed_bytes: int = RESERVATION_BYTES  # free space required before messages are accepted again
+    _compaction_retry_us: int = 0  # earliest time of the next compaction after a failed one; 0 if none failed
+    _absorb_retry_us: int = 0
 
     @property
     def size(self) -> int:
-        """Bytes of whole records."""
+        """Bytes of complete records."""
         return self.file.size if self.file is not None else 0
 
     @property
     def path(self) -> Path:
-        """The journal's file."""
+        """The path of the journal's file."""
         return self.folder / f"{self.slot}.log"
 
     @property
-    def fresh(self) -> Path:
-        """The file that a compaction writes before it takes the journal's place."""
+    def compaction_path(self) -> Path:
+        """The path of the file that a compaction writes before it replaces the journal."""
         return self.folder / f"{self.slot}.new"
 
     @property
-    def other(self) -> str:
+    def other_slot(self) -> str:
         """The slot of the other process at a hot restart."""
-        return SLOTS[1 - SLOTS.index(self.slot)]
+        return SLOT_NAMES[1 - SLOT_NAMES.index(self.slot)]
 
     @property
     def other_path(self) -> Path:
-        """The file of that process, there while it runs and until it is taken over."""
-        return self.folder / f"{self.other}.log"
+        """The path of that process's file, which exists until its content is taken over."""
+        return self.folder / f"{self.other_slot}.log"
 
     def _lock(self, slot: str) -> int | None:
-        """The descriptor that holds a slot's lock, or None while another process holds it."""
+        """Lock a slot and return the lock's descriptor, or None if another process holds the lock."""
         fd = os.open(self.folder / f"{slot}.lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -208,24 +222,27 @@
         return fd
 
     def _free_slot(self) -> tuple[str, int]:
-        """A slot and the descriptor that holds it.
+        """Lock a free slot and return it with the lock's descriptor.
 
-        Guards a start against a look of the other process: `shared` and `absorb` hold a slot for a moment.
+        Tries repeatedly, because `shared` and `absorb` of another process briefly lock a free slot.
         """
-        for _ in range(OPEN_TRIES):
-            for slot in SLOTS:
+        for _ in range(OPEN_TRY_COUNT):
+            for slot in SLOT_NAMES:
                 if (fd := self._lock(slot)) is not None:
                     return slot, fd
             time.sleep(OPEN_PAUSE_S)
-        raise JournalError("journal: two processes hold this folder already")
+        raise JournalError("journal: two processes already use this folder")
 
     def shared(self) -> bool:
-        """Whether another process holds the other slot: one of the two of a hot restart."""
+        """Return whether another process uses the other slot, as during a hot restart."""
         try:
-            fd = self._lock(self.other)
+            fd = self._lock(self.other_slot)
         except OSError as error:
-            # Guards the exit: alone, this process goes on as long as it may.
-            log.warning("journal: no look at the other slot: %s", error.strerror or error)
+            # Shutdown then continues as it does without a second process: as long as it is allowed to.
+            log.warning(
+                "journal: cannot check whether another process uses the other slot: %s",
+                error.strerror or error,
+            )
             return False
         if fd is None:
             return True
@@ -233,17 +250,17 @@
         return False
 
     def open(self) -> None:
-        """Take a free slot, replay what is there, drop a torn tail, and be ready to append.
+        """Lock a free slot, replay its file, discard a torn tail and prepare to append.
 
-        Guards the journal against two writers: each process of a hot restart holds a slot of its own.
+        Each process of a hot restart locks a slot of its own, so that a file has only one writer.
         """
         try:
             self.slot, self.lock_fd = self._free_slot()
-            self.fresh.unlink(missing_ok=True)
+            self.compaction_path.unlink(missing_ok=True)
             data = self.path.read_bytes() if self.path.exists() else b""
             end = self._replay(data)
             if torn := len(data[end:].rstrip(b"\0")):
-                log.warning("journal: torn tail of %d bytes dropped", torn)
+                log.warning("journal: discarded a torn tail of %d bytes", torn)
             self.file = file = JournalFile(os.open(self.path, os.O_RDWR | os.O_CREAT, 0o600), end)
             os.ftruncate(file.fd, end)
             if end < len(MAGIC):
@@ -257,10 +274,10 @@
         self._reserve(0)
 
     def close(self) -> None:
-        """Write what is still unwritten, let go of the file, and then of the slot."""
+        """Write the queued records, close the file and unlock the slot."""
         if self.file is not None:
             if self._unwritten and not self._flush():
-                log.error("journal: %d records were not written before the end", len(self._unwritten))
+                log.error("journal: %d records were not written before shutdown", len(self._unwritten))
             self.file.close()
             self.file = None
         if self.lock_fd >= 0:
@@ -268,17 +285,17 @@
             self.lock_fd = -1
 
     def absorb(self) -> list[Message] | None:
-        """Take over what the other slot's process left, once it has let go; None: ask again later.
+        """Take over the other slot's journal once its process has ended.
 
-        What it still owed is owed here from now on, and its ends are kept here; its file goes. All of it is
-        recorded here first, or none: until then that file is the only one that knows.
+        Returns the messages that are now owed here, or None if the caller has to try again later. Messages
+        and ends are recorded here, all or none of them, before the other file is removed.
         """
-        if 0 < self._absorb_us - self.unix_us() <= AGAIN_US:
+        if 0 < self._absorb_retry_us - self.unix_us() <= RETRY_DELAY_US:
             return None
         try:
-            fd = self._lock(self.other)
+            fd = self._lock(self.other_slot)
         except OSError as error:
-            self._not_absorbed(error)
+            self._defer_absorb(error)
             return None
         if fd is None:
             return None
@@ -287,365 +304,423 @@
             data = path.read_bytes() if path.exists() else b""
             self._absorb(data)
             if data:
-                os.truncate(path, 0)  # from here on nothing is owed twice, should the file not go
+                os.truncate(path, 0)  # even if it cannot be removed, no message is owed twice
             with contextlib.suppress(OSError):
                 path.unlink(missing_ok=True)
-                (self.folder / f"{self.other}.new").unlink(missing_ok=True)
+                (self.folder / f"{self.other_slot}.new").unlink(missing_ok=True)
         except (OSError, JournalError) as error:
-            self._not_absorbed(error)
+            self._defer_absorb(error)
             return None
         finally:
             os.close(fd)
-        self._absorb_us = 0
-        taken, self._taken_over = self._taken_over, []
-        if taken:
-            log.info("journal: %d messages taken over from the process before", len(taken))
-        return taken
-
-    def _not_absorbed(self, error: OSError | JournalError) -> None:
-        """Say so once, and try again later."""
-        if not self._absorb_us:
+        self._absorb_retry_us = 0
+        taken_over, self._taken_over = self._taken_over, []
+        if taken_over:
+            log.info("journal: %d messages taken over from the previous process", len(taken_over))
+        return taken_over
+
+    def _defer_absorb(self, error: OSError | JournalError) -> None:
+        """Schedule the next try, and log the first failure of a series."""
+        if not self._absorb_retry_us:
             why = error.strerror or error if isinstance(error, OSError) else error
-            log.error("journal: the other process's file is not taken over yet: %s", why)
-        self._absorb_us = self.unix_us() + AGAIN_US
+            log.error("journal: cannot take over the other process's file, trying again: %s", why)
+        self._absorb_retry_us = self.unix_us() + RETRY_DELAY_US
 
     def _absorb(self, data: bytes) -> None:
-        """Record what another file holds and is not known here. Raises OSError, and has recorded none."""
-        found = Journal(self.folder, self.budget, self.unix_us, self.keep_us, self.keep_us_of, self.attempts)
-        found._replay(data)
-        owed = [m for i, m in found.owed.items() if i not in self.owed and i not in self.ends]
-        ends = {i: e for i, e in found.ends.items() if i not in self.owed and i not in self.ends}
-        parts = [p for m in owed for p in self._parts(m)] + [p for i, e in ends.items() for p in e.parts(i)]
-        if not parts:
+        """Record the messages and ends of another file that are unknown here.
+
+        If this raises OSError, nothing was recorded.
+        """
+        other = Journal(self.folder, self.budget, self.unix_us, self.keep_us, self.keep_us_of, self.attempts)
+        other._replay(data)
+        owed = [message for i, message in other.owed.items() if i not in self.owed and i not in self.ends]
+        ends = {i: e for i, e in other.ends.items() if i not in self.owed and i not in self.ends}
+        records = [p for message in owed for p in self._message_records(message)] + [
+            p for i, e in ends.items() for p in e.records(i)
+        ]
+        if not records:
             return
-        record, kept = b"".join(parts), sum(found._books[m.id][0] for m in owed)
-        kept += sum(found._books[i][0] for i in ends)
-        if not self.recording() or not self._room(len(record), kept, found.promised):
-            raise OSError(self.trouble or "no room in the journal")
-        if not self._reserve(len(record) + found.promised) or not self._append(record):
+        record, compacted = b"".join(records), sum(other._byte_counts[message.id][0] for message in owed)
+        compacted += sum(other._byte_counts[i][0] for i in ends)
+        if not self.recording() or not self._make_room(len(record), compacted, other.pending_bytes):
+            raise OSError(self.trouble or "no space in the journal")
+        if not self._reserve(len(record) + other.pending_bytes) or not self._append(record):
             raise OSError(self.trouble)
         for message in owed:
             self._taken_over.append(message)
             self.owed[message.id] = message
-            self._book(message.id, *found._books[message.id])
+            self._set_byte_counts(message.id, *other._byte_counts[message.id])
         for message_id, ended in ends.items():
             self.ends[message_id] = ended
             self.absorbed.append(message_id)
-            self._lapse_at(message_id, ended)
-            self._book(message_id, *found._books[message_id])
+            self._schedule_expiry(message_id, ended)
+            self._set_byte_counts(message_id, *other._byte_counts[message_id])
 
     @staticmethod
-    def _parts(message: Message) -> list[bytes]:
-        """The records that say all that is known of an owed message."""
-        parts = [frame(taken_record(message))]
+    def _message_records(message: Message) -> list[bytes]:
+        """Return the records that describe an owed message completely."""
+        records = [encode_record(encode_taken(message))]
         if message.attempts_made and message.attempts_made - 1 not in message.unsettled:
-            parts += [
-                frame(step_record(kind, message.id, message.attempts_made - 1)) for kind in (BEGUN, NEVER_RAN)
+            records += [
+                encode_record(encode_status(kind, message.id, message.attempts_made - 1))
+                for kind in (BEGUN, NEVER_RAN)
             ]
-        parts += [frame(begun_record(message, leg, at)) for leg, at in sorted(message.unsettled.items())]
-        return parts
+        records += [
+            encode_record(encode_begun(message, attempt_number, begun_at_us))
+            for attempt_number, begun_at_us in sorted(message.unsettled.items())
+        ]
+        return records
 
-    # What the exchange records.
+    # The exchange's `Store`.
 
     def recording(self) -> bool:
-        """Whether something new may be taken; while not, asking tries whether the disk has room again."""
+        """Return whether new messages are accepted. After a write error, each call checks for disk space."""
         if not self.trouble:
             return True
-        narrow = 2 * (self.size + self.promised + self._wanted) + MARGIN > self.budget
-        if self.behind() or not self._reserve(0 if narrow else self._wanted):
+        little_budget = (
+            2 * (self.size + self.pending_bytes + self._needed_bytes) + BUDGET_MARGIN_BYTES > self.budget
+        )
+        if self.behind() or not self._reserve(0 if little_budget else self._needed_bytes):
             return False
-        lasted_s = (self.unix_us() - self._trouble_us) / 1_000_000
-        log.warning("journal: the disk has room again after %.1f s, messages are taken", lasted_s)
-        self.trouble, self._wanted = "", PIECE
+        lasted_s = (self.unix_us() - self._trouble_since_us) / 1_000_000
+        log.warning("journal: the disk has room again after %.1f s, accepting messages", lasted_s)
+        self.trouble, self._needed_bytes = "", RESERVATION_BYTES
         return True
 
     def behind(self) -> bool:
-        """Whether nothing may begin, for what has happened is not written; asking tries to write it."""
-        if not self._stuck:
+        """Return whether records still cannot be written, so that no attempt may begin.
+
+        Tries to write them.
+        """
+        if not self._write_failed:
             return False
         if self._unwritten:
             return not self._flush()
         try:
-            self._opened.probe()
+            self._open_file.probe()
         except OSError:
             return True
-        self._stuck = False
+        self._write_failed = False
         return False
 
     def take(self, message: Message) -> bool:
-        """Record a taken message, if there is room for it, its attempts and its end."""
+        """Record an accepted message; return False if there is no space for it, its attempts and its end."""
         if self.trouble and not self.recording():
             return False
-        record = frame(taken_record(message))
-        left = self._room_of(message)
-        kept = len(record) + 2 * (STEP + len(message.id))
-        if not self._room(len(record), kept, left) or not self._reserve(len(record) + left):
+        record = encode_record(encode_taken(message))
+        pending = self._pending_bytes_of(message)
+        compacted = len(record) + 2 * (STATUS_RECORD_BYTES + len(message.id))
+        if not self._make_room(len(record), compacted, pending) or not self._reserve(len(record) + pending):
             return False
         if not self._append(record):
             return False
         self.owed[message.id] = message
         self.ends.pop(message.id, None)
-        self._book(message.id, kept, left)
+        self._set_byte_counts(message.id, compacted, pending)
         return True
 
     def begin(self, message: Message, attempt_number: int) -> bool:
-        """Record an attempt before its first byte; False if it was not written."""
-        record = frame(begun_record(message, attempt_number, self.unix_us()))
+        """Record an attempt before its first byte is sent; return False if the record was not written."""
+        record = encode_record(encode_begun(message, attempt_number, self.unix_us()))
         if not self._append(record):
             return False
-        self._spent(message.id, len(record))
+        self._count_written(message.id, len(record))
         return True
 
     def never_ran(self, message: Message, attempt_number: int) -> None:
-        """Record the proof that an attempt never ran."""
-        record = frame(step_record(NEVER_RAN, message.id, attempt_number))
-        self._record(record)
-        self._spent(message.id, len(record))
+        """Record that an attempt is known never to have run."""
+        record = encode_record(encode_status(NEVER_RAN, message.id, attempt_number))
+        self._write_or_queue(record)
+        self._count_written(message.id, len(record))
 
     def end(self, message: Message, end: End) -> None:
-        """Record the end of a message."""
+        """Record the final end of a message."""
         now = self.unix_us()
         keep_us = self.keep_us_of.get(message.front, self.keep_us)
-        keep, again = max(message.deadline_us, now) + keep_us, now + end.retry_us
+        keep_until_us, resubmit_at_us = max(message.deadline_us, now) + keep_us, now + end.retry_us
         self.owed.pop(message.id, None)
-        ended = self.ends[message.id] = Ended(end, message.front, keep, again)
-        self._lapse_at(message.id, ended)
-        self._ended += 1
-        if self._ended % TIDY_EACH == 0:
-            self._tidy()
-        record = frame(ended.record(message.id))
-        self._record(record)
-        told = STEP + len(message.id)
-        self._book(message.id, len(record) + told, ended.untold * told)
+        ended = self.ends[message.id] = RecordedEnd(end, message.front, keep_until_us, resubmit_at_us)
+        self._schedule_expiry(message.id, ended)
+        self._end_count += 1
+        if self._end_count % EXPIRY_CHECK_END_COUNT == 0:
+            self._forget_expired_ends()
+        record = encode_record(ended.encode(message.id))
+        self._write_or_queue(record)
+        told_bytes = STATUS_RECORD_BYTES + len(message.id)
+        self._set_byte_counts(message.id, len(record) + told_bytes, ended.untold * told_bytes)
 
     def told(self, message_id: str) -> None:
-        """Record that the platform has confirmed a notice."""
+        """Record that the platform has confirmed the notice of a message's end."""
         if (ended := self.ends.get(message_id)) is not None and not ended.told:
             ended.told = True
-            self._lapse_at(message_id, ended)
-            self._record(frame(step_record(TOLD, message_id, 0)))
-            self._book(message_id, self._books.get(message_id, (0, 0))[0], 0)
+            self._schedule_expiry(message_id, ended)
+            self._write_or_queue(encode_record(encode_status(TOLD, message_id, 0)))
+            self._set_byte_counts(message_id, self._byte_counts.get(message_id, (0, 0))[0], 0)
 
     def ended(self, message_id: str) -> End | None:
-        """The end of a message, while it is its answer."""
+        """Return the end of a message; None if it is unknown or expired, or a refusal may be retried."""
         ended, now = self.ends.get(message_id), self.unix_us()
         if ended is None or now >= ended.keep_until_us:
             return None
-        lapsed = ended.end.ending is Ending.REFUSED and now >= ended.again_us
-        return None if lapsed else ended.end
+        may_resubmit = ended.end.ending is Ending.REFUSED and now >= ended.resubmit_at_us
+        return None if may_resubmit else ended.end
+
+    def _schedule_expiry(self, message_id: str, ended: RecordedEnd) -> None:
+        """Schedule the removal of an end.
 
-    def _lapse_at(self, message_id: str, ended: Ended) -> None:
-        """An end is kept until its time; one whose notice is not confirmed longer, for a restart."""
-        lapses = ended.keep_until_us + ended.untold * self.keep_us
-        self._spans.setdefault(lapses // TIDY_US, []).append(message_id)
+        An end whose notice is not confirmed is kept longer, so that a restart can send the notice again.
+        """
+        expires_at_us = ended.keep_until_us + ended.untold * self.keep_us
+        self._expiry_spans.setdefault(expires_at_us // EXPIRY_SPAN_US, []).append(message_id)
 
-    def _tidy(self) -> None:
-        """Forget ends whose time is over; only those are looked at."""
+    def _forget_expired_ends(self) -> None:
+        """Remove expired ends, visiting only the spans that are over."""
         now = self.unix_us()
-        for span in sorted(s for s in self._spans if (s + 1) * TIDY_US <= now):
-            for message_id in self._spans.pop(span):
+        for span in sorted(s for s in self._expiry_spans if (s + 1) * EXPIRY_SPAN_US <= now):
+            for message_id in self._expiry_spans.pop(span):
                 if (ended := self.ends.get(message_id)) is None:
-                    continue  # handed in anew under its old id
+                    continue  # the id was submitted again
                 if now >= ended.keep_until_us + ended.untold * self.keep_us:
                     del self.ends[message_id]
-                    self._book(message_id, 0, 0)
+                    self._set_byte_counts(message_id, 0, 0)
                 else:
-                    self._lapse_at(message_id, ended)
+                    self._schedule_expiry(message_id, ended)
 
-    # Room and compaction.
+    # Disk space and compaction.
 
     @property
-    def _opened(self) -> JournalFile:
+    def _open_file(self) -> JournalFile:
         if self.file is None:
             raise OSError(errno.EBADF, "the journal is closed")
         return self.file
 
-    def _book(self, message_id: str, kept: int, left: int) -> None:
-        """Keep account of what a message takes in a compaction, and of what may still have to be written."""
-        old_kept, old_left = self._books.get(message_id, (0, 0))
-        self.live += kept - old_kept
-        self.promised += left - old_left
-        if kept:
-            self._books[message_id] = kept, left
+    def _set_byte_counts(self, message_id: str, compacted: int, pending: int) -> None:
+        """Set a message's share of `compacted_bytes` and `pending_bytes`."""
+        old_compacted, old_pending = self._byte_counts.get(message_id, (0, 0))
+        self.compacted_bytes += compacted - old_compacted
+        self.pending_bytes += pending - old_pending
+        if compacted:
+            self._byte_counts[message_id] = compacted, pending
         else:
-            self._books.pop(message_id, None)
+            self._byte_counts.pop(message_id, None)
 
-    def _spent(self, message_id: str, size: int) -> None:
-        """A step of an owed message is written, in the room promised to it."""
+    def _count_written(self, message_id: str, size: int) -> None:
+        """Account for a written record of an owed message, which used up some of its reserved space."""
         if message_id in self.owed:
-            kept, left = self._books[message_id]
-            spent = min(left, size)
-            self._books[message_id] = kept + size, left - spent
-            self.live += size
-            self.promised -= spent
-            if spent < size:
+            compacted, pending = self._byte_counts[message_id]
+            used_bytes = min(pending, size)
+            self._byte_counts[message_id] = compacted + size, pending - used_bytes
+            self.compacted_bytes += size
+            self.pending_bytes -= used_bytes
+            if used_bytes < size:
                 self._reserve(0)
 
-    def _room_of(self, message: Message) -> int:
-        """Bytes that may still have to be written for an owed message."""
-        step = STEP + len(message.id)
-        end = END + len(message.id) + len(message.front.encode()) + step
-        begun = step + STEP_TIME * bool(message.key)
-        attempts = max(0, self.attempts - message.attempts_made) * (begun + step)
-        return end + attempts + len(message.unsettled) * step
-
-    def _room(self, more: int, kept: int, left: int) -> bool:
-        """Whether the file may grow so far and a compaction's file still fits beside it."""
-        if self._fits(self.size + more, kept, left):
-            return True
-        self._tidy()
-        # No compaction where it would not help: each refusal would cost one.
-        if not self._fits(self._compacted() + more, kept, left) or not self._compact():
-            return False
-        return self._fits(self.size + more, kept, left)
-
-    def _fits(self, grown: int, kept: int, left: int) -> bool:
-        return grown + len(MAGIC) + self.live + kept + 2 * (self.promised + left) + MARGIN <= self.budget
+    def _pending_bytes_of(self, message: Message) -> int:
+        """Return the most bytes that the further records of an owed message may take."""
+        status_bytes = STATUS_RECORD_BYTES + len(message.id)
+        end = END_RECORD_BYTES + len(message.id) + len(message.front.encode()) + status_bytes
+        begun = status_bytes + ATTEMPT_TIME_BYTES * bool(message.key)
+        attempts = max(0, self.attempts - message.attempts_made) * (begun + status_bytes)
+        return end + attempts + len(message.unsettled) * status_bytes
 
-    def _compacted(self) -> int:
-        """What a compaction writes at most."""
-        return len(MAGIC) + self.live
+    def _make_room(self, extra_bytes: int, compacted: int, pending: int) -> bool:
+        """Return whether the file may grow within the budget, after a compaction if one is needed.
 
-    def _ahead(self, need: int) -> int:
-        """Up to where room is asked for where so much is needed: a piece more while that is in the half."""
-        return max(need, min(-(-need // PIECE) * PIECE, self.budget // 2 - MARGIN))
-
-    def _reserve(self, more: int) -> bool:
-        """Have the disk give room for what is promised and so much more."""
-        need = self.size + self.promised + more
-        if self.file is not None and need <= self.file.room:
+        The budget always has to leave space for the second file of a compaction.
+        """
+        if self._fits(self.size + extra_bytes, compacted, pending):
+            return True
+        self._forget_expired_ends()
+        # Skips a compaction that could not free enough: otherwise each refused message would cause one.
+        if (
+            not self._fits(self._max_compacted_bytes() + extra_bytes, compacted, pending)
+            or not self._compact()
+        ):
+            return False
+        return self._fits(self.size + extra_bytes, compacted, pending)
+
+    def _fits(self, file_bytes: int, compacted: int, pending: int) -> bool:
+        """Return whether a file of this size and the second file of a compaction fit into the budget."""
+        return (
+            file_bytes
+            + len(MAGIC)
+            + self.compacted_bytes
+            + compacted
+            + 2 * (self.pending_bytes + pending)
+            + BUDGET_MARGIN_BYTES
+            <= self.budget
+        )
+
+    def _max_compacted_bytes(self) -> int:
+        """Return an upper bound for the size of a compacted file."""
+        return len(MAGIC) + self.compacted_bytes
+
+    def _reservation_end(self, needed_bytes: int) -> int:
+        """Return the offset up to which to reserve space for `needed_bytes`.
+
+        Rounds up to whole units as long as the result stays within half of the budget.
+        """
+        return max(
+            needed_bytes,
+            min(
+                -(-needed_bytes // RESERVATION_BYTES) * RESERVATION_BYTES,
+                self.budget // 2 - BUDGET_MARGIN_BYTES,
+            ),
+        )
+
+    def _reserve(self, extra_bytes: int) -> bool:
+        """Reserve disk space for `pending_bytes` and `extra_bytes` bytes; return False if that fails."""
+        needed_bytes = self.size + self.pending_bytes + extra_bytes
+        if self.file is not None and needed_bytes <= self.file.reserved_end:
             return True
         try:
             try:
-                self._opened.reserve(self._ahead(need))
+                self._open_file.reserve(self._reservation_end(needed_bytes))
             except OSError:
-                self._opened.reserve(need)
+                self._open_file.reserve(needed_bytes)
         except OSError as error:
-            self._fails(error, more)
+            self._handle_write_error(error, extra_bytes)
             return False
         return True
 
-    def _fails(self, error: OSError, wanted: int = 0) -> None:
-        """The disk has no room: say so once, until it has so much."""
-        self._wanted = max(self._wanted, wanted)
+    def _handle_write_error(self, error: OSError, wanted_bytes: int = 0) -> None:
+        """Stop accepting messages until `wanted_bytes` can be reserved; log the first error of a series."""
+        self._needed_bytes = max(self._needed_bytes, wanted_bytes)
         if not self.trouble:
-            self.trouble, self._trouble_us = error.strerror or str(error), self.unix_us()
-            log.error("journal: the disk refuses writes, nothing new is taken: %s", self.trouble)
+            self.trouble, self._trouble_since_us = error.strerror or str(error), self.unix_us()
+            log.error("journal: cannot write, no new messages are accepted: %s", self.trouble)
 
-    def _record(self, record: bytes) -> None:
-        """Write what has happened, or keep it until it can be written."""
+    def _write_or_queue(self, record: bytes) -> None:
+        """Write the record of something that has already happened, or queue it if the write fails."""
         if not self._append(record):
             self._unwritten.append(record)
 
     def _append(self, record: bytes) -> bool:
-        """Write a record behind all that wait; False if it is not written."""
+        """Write a record after all queued ones; return False if it was not written."""
         if self._unwritten and not self._flush():
             return False
-        if self.size > COMPACT_LEAST + 3 * (len(MAGIC) + self.live):
-            # Before the record, never behind it: what it says is known here only once it is written, and a
-            # compaction in between would drop a message just taken, or an attempt just begun.
+        if self.size > MIN_COMPACTION_BYTES + 3 * (len(MAGIC) + self.compacted_bytes):
+            # Compacts before the write, because the caller updates its state only after the write. A
+            # compaction in between would lose a message just accepted or an attempt just begun.
             self._compact()
         try:
-            (self.file or self._opened).write(record)
+            (self.file or self._open_file).write(record)
         except OSError as error:
-            self._stuck = True
-            self._fails(error)
+            self._write_failed = True
+            self._handle_write_error(error)
             return False
         return True
 
     def _flush(self) -> bool:
-        """Write what waits, in order; a compaction, which says all of it, where that alone has room."""
+        """Write the queued records in order; return False if some remain.
+
+        If a write fails, tries a compaction, which includes the queued records and may need less space.
+        """
         try:
             while self._unwritten:
-                self._opened.write(self._unwritten[0])
+                self._open_file.write(self._unwritten[0])
                 self._unwritten.popleft()
         except OSError as error:
-            self._stuck = True
-            self._fails(error)
-            return self.size > 2 * self._compacted() and self._compact()
-        self._stuck = False
+            self._write_failed = True
+            self._handle_write_error(error)
+            return self.size > 2 * self._max_compacted_bytes() and self._compact()
+        self._write_failed = False
         return True
 
     def _compact(self) -> bool:
-        """Write what is still of use into a new file, which then takes the old one's place."""
-        if 0 < self._compact_us - self.unix_us() <= AGAIN_US:
+        """Replace the journal with a file of the records still needed; return False on failure."""
+        if 0 < self._compaction_retry_us - self.unix_us() <= RETRY_DELAY_US:
             return False
-        self._tidy()
-        old, parts = self._opened, [MAGIC]
+        self._forget_expired_ends()
+        old_file, records = self._open_file, [MAGIC]
         for message in self.owed.values():
-            written = self._parts(message)
-            parts += written
-            kept = sum(map(len, written)) + 2 * (STEP + len(message.id))
-            self._book(message.id, kept, self._books.get(message.id, (0, 0))[1])
+            message_records = self._message_records(message)
+            records += message_records
+            compacted = sum(map(len, message_records)) + 2 * (STATUS_RECORD_BYTES + len(message.id))
+            self._set_byte_counts(message.id, compacted, self._byte_counts.get(message.id, (0, 0))[1])
         for message_id, ended in self.ends.items():
-            parts += ended.parts(message_id)
-        data = b"".join(parts)
+            records += ended.records(message_id)
+        data = b"".join(records)
         try:
-            if blocks(old.room) + blocks(self._ahead(len(data) + self.promised)) > self.budget:
-                old.trim(old.size + self.promised)
-            need = len(data) + self.promised
-            spare = self.budget - blocks(max(old.room, old.size))
-            if blocks(need) > spare:
-                raise OSError(errno.EDQUOT, "the budget has no room for a second file")
-            fd = os.open(self.fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
-            new = JournalFile(fd, 0)
+            if (
+                round_up_to_blocks(old_file.reserved_end)
+                + round_up_to_blocks(self._reservation_end(len(data) + self.pending_bytes))
+                > self.budget
+            ):
+                old_file.release_after(old_file.size + self.pending_bytes)
+            needed_bytes = len(data) + self.pending_bytes
+            spare = self.budget - round_up_to_blocks(max(old_file.reserved_end, old_file.size))
+            if round_up_to_blocks(needed_bytes) > spare:
+                raise OSError(errno.EDQUOT, "the budget has no space for a second file")
+            fd = os.open(self.compaction_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
+            new_file = JournalFile(fd, 0)
             try:
-                new.reserve(min(self._ahead(need), spare))
-                new.write(data)
-                os.rename(self.fresh, self.path)
+                new_file.reserve(min(self._reservation_end(needed_bytes), spare))
+                new_file.write(data)
+                os.rename(self.compaction_path, self.path)
             except OSError:
                 os.close(fd)
-                self.fresh.unlink(missing_ok=True)
+                self.compaction_path.unlink(missing_ok=True)
                 raise
         except OSError as error:
-            if not self._compact_us:
-                log.error("journal: not compacted: %s", error.strerror or error)
-            self._compact_us = self.unix_us() + AGAIN_US
+            if not self._compaction_retry_us:
+                log.error("journal: compaction failed: %s", error.strerror or error)
+            self._compaction_retry_us = self.unix_us() + RETRY_DELAY_US
             return False
-        os.close(old.fd)
-        log.info("journal: compacted from %d to %d bytes", old.size, len(data))
-        self.file, self._compact_us = new, 0
-        self._unwritten.clear()  # what they say stands in the new file
-        self._stuck = False
+        os.close(old_file.fd)
+        log.info("journal: compacted from %d to %d bytes", old_file.size, len(data))
+        self.file, self._compaction_retry_us = new_file, 0
+        self._unwritten.clear()  # the new file contains them
+        self._write_failed = False
         return True
 
     # Replay.
 
     def replay(self, data: bytes) -> int:
-        """Take in all whole records, and return from where on the file is torn. Raises JournalError."""
+        """Apply all valid records, and return the offset of a torn tail, or the size if there is none.
+
+        Raises JournalError.
+        """
         end = self._replay(data)
         return end if data[end:].strip(b"\0") else len(data)
 
     def _replay(self, data: bytes) -> int:
-        """Take in all whole records, and return the offset behind the last."""
+        """Apply all valid records, and return the end offset of the last one."""
         if not data.startswith(MAGIC[: len(data)]):
             raise JournalError(f"{self.path.name}: not a journal of rowanrack")
         end = min(len(data), len(MAGIC)) if data.startswith(MAGIC) else 0
-        for offset, payload in records(data):
+        for offset, payload in read_records(data):
             try:
-                self._read(payload)
+                self._apply_record(payload)
             except (ValueError, KeyError, struct.error) as error:
                 raise JournalError(f"journal: unreadable record before offset {offset}: {error}") from None
             end = offset
-        self._spans.clear()
+        self._expiry_spans.clear()
         for message_id, message in self.owed.items():
-            kept = sum(map(len, self._parts(message))) + 2 * (STEP + len(message_id))
-            self._book(message_id, kept, self._room_of(message))
+            compacted = sum(map(len, self._message_records(message))) + 2 * (
+                STATUS_RECORD_BYTES + len(message_id)
+            )
+            self._set_byte_counts(message_id, compacted, self._pending_bytes_of(message))
         for message_id, ended in self.ends.items():
-            self._lapse_at(message_id, ended)
-            step = STEP + len(message_id)
-            self._book(message_id, len(frame(ended.record(message_id))) + step, ended.untold * step)
-        self._tidy()
+            self._schedule_expiry(message_id, ended)
+            status_bytes = STATUS_RECORD_BYTES + len(message_id)
+            self._set_byte_counts(
+                message_id,
+                len(encode_record(ended.encode(message_id))) + status_bytes,
+                ended.untold * status_bytes,
+            )
+        self._forget_expired_ends()
         return end
 
-    def _read(self, payload: bytes) -> None:
-        kind, (raw, *_), rest = payload[:1], *unpack_text(payload[1:], 1)
-        message_id = raw.decode()
-        if kind in (TAKEN, KEYED):
-            texts, fixed = unpack_text(payload[1:], 7 if kind == KEYED else 6)
-            _, cls, tenant, front, form, body, key = texts if kind == KEYED else (*texts, b"")
+    def _apply_record(self, payload: bytes) -> None:
+        """Update the state with one record. Raises ValueError, KeyError or struct.error if it is invalid."""
+        kind, (encoded_id, *_), rest = payload[:1], *decode_byte_strings(payload[1:], 1)
+        message_id = encoded_id.decode()
+        if kind in (TAKEN, TAKEN_WITH_KEY):
+            texts, fixed = decode_byte_strings(payload[1:], 7 if kind == TAKEN_WITH_KEY else 6)
+            _, cls, tenant, front, form, body, key = texts if kind == TAKEN_WITH_KEY else (*texts, b"")
             deadline_us, dest = struct.unpack("<qq", fixed)
-            self.ends.pop(message_id, None)  # it came again
+            self.ends.pop(message_id, None)  # the id was submitted again
             self.owed[message_id] = Message(
                 message_id,
                 cls.decode(),
@@ -659,24 +734,24 @@
             )
         elif kind == ENDED:
             self.owed.pop(message_id, None)
-            (_, front), fixed = unpack_text(payload[1:], 2)
-            retry_us, keep_us, again_us = struct.unpack("<qqq", fixed[1:])
-            end = End(ENDING_OF[fixed[:1]], retry_us)
-            self.ends[message_id] = Ended(end, front.decode(), keep_us, again_us)
+            (_, front), fixed = decode_byte_strings(payload[1:], 2)
+            retry_us, keep_until_us, resubmit_at_us = struct.unpack("<qqq", fixed[1:])
+            end = End(ENDINGS_BY_CODE[fixed[:1]], retry_us)
+            self.ends[message_id] = RecordedEnd(end, front.decode(), keep_until_us, resubmit_at_us)
         elif kind == TOLD:
             if message_id in self.ends:
                 self.ends[message_id].told = True
         elif kind in (BEGUN, NEVER_RAN):
-            leg, *at = struct.unpack("<Iq" if len(rest) == TIMED else "<I", rest)
+            attempt_number, *offset = struct.unpack("<Iq" if len(rest) == TIMED_ATTEMPT_BYTES else "<I", rest)
             if (message := self.owed.get(message_id)) is not None:
-                message.attempts_made = max(message.attempts_made, leg + 1)
+                message.attempts_made = max(message.attempts_made, attempt_number + 1)
                 if kind == BEGUN:
-                    message.unsettled[leg] = at[0] if at else 0
+                    message.unsettled[attempt_number] = offset[0] if offset else 0
                 else:
-                    message.unsettled.pop(leg, None)
+                    message.unsettled.pop(attempt_number, None)
         else:
-            raise ValueError(f"unknown type {kind!r}")
+            raise ValueError(f"unknown record type {kind!r}")
 
     def untold(self, front: str) -> list[tuple[str, End]]:
-        """Refusals and failures of a front's messages whose notice has not been confirmed."""
+        """Return a front's refused and failed messages whose notice is not yet confirmed."""
         return [(i, e.end) for i, e in self.ends.items() if e.untold and e.front == front]
--- a/rowanrack/store/journal_file.py
+++ b/rowanrack/store/journal_file.py
@@ -1,7 +1,8 @@
-"""The file under a journal: whole records at its end, and room that the disk has given ahead of them.
+"""The file of a journal: complete records, followed by space reserved on the disk.
 
-Room is kept by `posix_fallocate`, which writes zeros by itself where a file system cannot reserve; where it
-does neither, zeros are written here. Zero bytes behind the last record are room, no torn tail.
+Space is reserved with `posix_fallocate`, which itself writes zeros where the file system cannot reserve.
+Where it supports neither, this module writes the zeros. Zero bytes after the last record are reserved space,
+not a torn tail.
 """
 
 from __future__ import annotations
@@ -11,73 +12,73 @@
 import os
 from dataclasses import dataclass
 
-BLOCK = 512  # bytes in which a file's size counts on the disk
-PROBE = b"\0" * BLOCK
-CANNOT = frozenset({errno.EOPNOTSUPP, errno.ENOSYS, errno.EINVAL, errno.ENODEV})
+BLOCK_BYTES = 512  # unit in which a file's size is counted on the disk
+PROBE_ZEROS = b"\0" * BLOCK_BYTES
+UNSUPPORTED_ERRNOS = frozenset({errno.EOPNOTSUPP, errno.ENOSYS, errno.EINVAL, errno.ENODEV})
 
 
-def blocks(size: int) -> int:
-    """Bytes that a file of this size counts on the disk."""
-    return -(-size // BLOCK) * BLOCK
+def round_up_to_blocks(size: int) -> int:
+    """Return the disk space that a file of this size occupies."""
+    return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
 
-def short_write(written: int, of: int) -> OSError:
-    """The error of a write that the disk took only in part."""
-    return OSError(errno.ENOSPC, f"only {written} of {of} bytes were written")
+def short_write_error(written: int, requested: int) -> OSError:
+    """Return the error for a write of which the disk accepted only a part."""
+    return OSError(errno.ENOSPC, f"short write: only {written} of {requested} bytes were written")
 
 
 @dataclass(slots=True)
 class JournalFile:
-    """An open file; what a failed write may have left behind `size` is zeroed before the next one."""
+    """An open journal file. Bytes that a failed write left after `size` are zeroed before the next write."""
 
     fd: int
-    size: int  # bytes of whole records
-    room: int = 0  # up to where the disk has given room
-    torn: int = 0  # up to where a failed write may have left bytes
+    size: int  # bytes of complete records
+    reserved_end: int = 0  # offset up to which space is reserved
+    torn_end: int = 0  # offset up to which a failed write may have left bytes
 
     def write(self, data: bytes) -> None:
-        """Write all of it behind the last record, or raise OSError and let none of it count."""
-        if self.torn > self.size:
-            # Guards against a shorter record here: what is left behind it could be read as one.
-            self._put(bytes(self.torn - self.size), self.size)
-            self.torn = self.size
+        """Append all of the data after the last record, or raise OSError and leave `size` unchanged."""
+        if self.torn_end > self.size:
+            # A shorter record would leave bytes of the failed write after it, which could parse as a record.
+            self._write_zeros(bytes(self.torn_end - self.size), self.size)
+            self.torn_end = self.size
         written = os.pwrite(self.fd, data, self.size)
         if written < len(data):
-            self.torn = self.size + written
-            raise short_write(written, len(data))
+            self.torn_end = self.size + written
+            raise short_write_error(written, len(data))
         self.size += written
 
     def probe(self) -> None:
-        """Raise OSError unless the next bytes can be written; zeros are, which count as room."""
-        self._put(PROBE, max(self.size, self.torn))
+        """Raise OSError if the next bytes cannot be written. Writes zeros, which count as reserved space."""
+        self._write_zeros(PROBE_ZEROS, max(self.size, self.torn_end))
 
-    def reserve(self, upto: int) -> None:
-        """Have the disk give room up to this offset. Raises OSError."""
-        start = max(self.size, self.room)
-        if upto <= start:
+    def reserve(self, end: int) -> None:
+        """Reserve disk space up to this offset. Raises OSError."""
+        start = max(self.size, self.reserved_end)
+        if end <= start:
             return
         try:
-            os.posix_fallocate(self.fd, start, upto - start)
+            os.posix_fallocate(self.fd, start, end - start)
         except OSError as error:
-            if error.errno not in CANNOT:
+            if error.errno not in UNSUPPORTED_ERRNOS:
                 raise
-            self._put(bytes(upto - start), start)
-        self.room = upto
+            self._write_zeros(bytes(end - start), start)
+        self.reserved_end = end
 
-    def trim(self, upto: int) -> None:
-        """Give back the room behind this offset. Raises OSError."""
-        if upto < self.room:
-            os.ftruncate(self.fd, upto)
-            self.room = upto
+    def release_after(self, end: int) -> None:
+        """Release the reserved space after this offset. Raises OSError."""
+        if end < self.reserved_end:
+            os.ftruncate(self.fd, end)
+            self.reserved_end = end
 
     def close(self) -> None:
-        """Give back all room, and let go of the file."""
+        """Release all reserved space and close the file."""
         with contextlib.suppress(OSError):
             os.ftruncate(self.fd, self.size)
         os.close(self.fd)
 
-    def _put(self, data: bytes, at: int) -> None:
-        """Write zeros, all of them."""
-        written = os.pwrite(self.fd, data, at)
+    def _write_zeros(self, data: bytes, offset: int) -> None:
+        """Write all of these zero bytes, or raise OSError."""
+        written = os.pwrite(self.fd, data, offset)
         if written < len(data):
-            raise short_write(written, len(data))
+            raise short_write_error(written, len(data))
--- a/rowanrack/store/log_memory.py
+++ b/rowanrack/store/log_memory.py
@@ -1,6 +1,7 @@
-"""A `LogStore` in memory: for tests, and the plainest statement of what a store does.
+"""A `LogStore` in memory, for tests and as the reference implementation.
 
-What it holds outlasts `close` and `open` of the same object, as a file would. Source: docs/channels.md.
+The content survives `close` and `open` of the same object, as that of a file would. This module also holds
+the rules that both log stores share. Source: docs/channels.md.
 """
 
 from __future__ import annotations
@@ -13,201 +14,216 @@
 from rowanrack.channels.events import CHAIN_BYTES, START, Event, Gap, Head, Place, Stream
 from rowanrack.channels.ports import LogError, LogFullError
 
-MOST = (1 << 63) - 1  # the highest number, time and tick that a store keeps
-EACH = 64  # bytes that an event counts beside its texts and its payload
-RETENTION = "retention"
+MAX_INT64 = (1 << 63) - 1  # the highest number, time and tick that a store accepts
+EVENT_OVERHEAD_BYTES = 64  # counted for each event besides its texts and its payload
+RETENTION_REASON = "retention"
 
 
 @dataclass(slots=True)
-class Known:
-    """A stream's head, its gaps and its events, both in the order of their numbers."""
+class StreamState:
+    """A stream's head, and its gaps and events in the order of their numbers."""
 
     head: Head
     gaps: list[Gap] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
 
 
-def weight(event: Event) -> int:
-    """At least as many bytes as an event takes as msgpack."""
+def event_bytes(event: Event) -> int:
+    """Return an upper bound for the size of an event in msgpack."""
     text = event.channel + event.site + event.life + event.kind
-    return EACH + (len(text) if text.isascii() else len(text.encode())) + len(event.data)
+    return EVENT_OVERHEAD_BYTES + (len(text) if text.isascii() else len(text.encode())) + len(event.data)
 
 
-def advanced(events: Sequence[Event], head_of: Callable[[Stream], Head | None]) -> dict[Stream, Head]:
-    """The heads of all streams of which there are events, behind those.
+def advance_heads(events: Sequence[Event], head_of: Callable[[Stream], Head | None]) -> dict[Stream, Head]:
+    """Return the new heads of the streams to which these events are appended.
 
-    Raises ValueError if an event is not the next of its stream, or cannot be kept.
+    Raises ValueError if an event is not the next of its stream, or cannot be stored.
     """
-    found: dict[tuple[str, str, str], tuple[Stream, int]] = {}  # each stream's floor
-    last: dict[tuple[str, str, str], Event] = {}
-    kinds: set[str] = set()
+    streams_and_floors: dict[tuple[str, str, str], tuple[Stream, int]] = {}  # by stream key
+    last_events: dict[tuple[str, str, str], Event] = {}
+    checked_kinds: set[str] = set()
     for event in events:
-        key = event.channel, event.site, event.life
-        if key in last:
-            number = last[key].number
+        stream_key = event.channel, event.site, event.life
+        if stream_key in last_events:
+            number = last_events[stream_key].number
         else:
-            stream = Stream(*key)
+            stream = Stream(*stream_key)
             head = head_of(stream)
-            found[key], number = (stream, head.floor if head else 0), head.number if head else 0
-            for text in key:
+            streams_and_floors[stream_key], number = (
+                (stream, head.floor if head else 0),
+                head.number if head else 0,
+            )
+            for text in stream_key:
                 text.encode()  # UnicodeEncodeError is a ValueError
         if event.number != number + 1:
-            raise ValueError(f"event {event.id} of {event.channel}: the next of its stream is {number + 1}")
-        if not (-MOST <= event.at <= MOST and 0 <= event.tick <= MOST and number < MOST):
+            raise ValueError(
+                f"event {event.id} of {event.channel}: the next number of its stream is {number + 1}"
+            )
+        if not (-MAX_INT64 <= event.at <= MAX_INT64 and 0 <= event.tick <= MAX_INT64 and number < MAX_INT64):
             raise ValueError(f"event {event.id} of {event.channel}: its time does not fit into 64 bits")
         if len(event.chain) != CHAIN_BYTES:
             raise ValueError(f"event {event.id} of {event.channel}: its chain is not {CHAIN_BYTES} bytes")
-        if event.kind not in kinds:
+        if event.kind not in checked_kinds:
             event.kind.encode()
-            kinds.add(event.kind)
-        last[key] = event
+            checked_kinds.add(event.kind)
+        last_events[stream_key] = event
     return {
-        stream: Head(stream, floor, end.number, end.at, end.tick, end.chain)
-        for (stream, floor), end in zip(found.values(), last.values(), strict=True)
+        stream: Head(stream, floor, last_event.number, last_event.at, last_event.tick, last_event.chain)
+        for (stream, floor), last_event in zip(streams_and_floors.values(), last_events.values(), strict=True)
     }
 
 
-def skipped(head: Head | None, gap: Gap) -> tuple[Head, Gap] | None:
-    """A stream's head behind a gap, and that part of the gap which is not here; None if all of it is here.
+def skip_to_gap_end(head: Head | None, gap: Gap) -> tuple[Head, Gap] | None:
+    """Return a stream's head after a gap, and the part of the gap that follows the old head.
 
-    The head keeps the time of the last event that was here; its chain is `START`, as it is not known.
-    Raises ValueError if events in front of the gap are missing, or it cannot be kept.
+    Returns None if the old head is already at or after the end of the gap. The new head keeps the time of the
+    old one; its chain is `START`, because the real one is unknown. Raises ValueError if events before the gap
+    are missing, or the gap cannot be stored.
     """
     number, at, tick = (head.number, head.at, head.tick) if head is not None else (0, 0, 0)
-    if gap.first > number + 1 or gap.last < gap.first or gap.last > MOST:
+    if gap.first > number + 1 or gap.last < gap.first or gap.last > MAX_INT64:
         raise ValueError(f"gap {gap.first} to {gap.last} of {gap.stream}: the next number is {number + 1}")
     if gap.last <= number:
         return None
     return Head(gap.stream, gap.last, gap.last, at, tick, START), gap._replace(first=number + 1)
 
 
-def pruned(head: Head, gaps: Sequence[Gap], first: int, last: int) -> tuple[Head, list[Gap]]:
-    """A stream's head and gaps once retention has taken its events from `first` to `last`.
+def prune_stream(
+    head: Head, gaps: Sequence[Gap], first_number: int, last_number: int
+) -> tuple[Head, list[Gap]]:
+    """Return a stream's head and gaps after retention removed events `first_number` to `last_number`.
 
-    Gaps in front of those become part of the one gap that retention leaves.
+    Earlier gaps are merged into the single gap that retention leaves.
     """
-    first = min([first, *(gap.first for gap in gaps if gap.last <= last)])
-    kept = [gap for gap in gaps if gap.last > last]
-    return head._replace(floor=max(head.floor, last)), [Gap(head.stream, first, last, RETENTION), *kept]
+    first_number = min([first_number, *(gap.first for gap in gaps if gap.last <= last_number)])
+    later_gaps = [gap for gap in gaps if gap.last > last_number]
+    return head._replace(floor=max(head.floor, last_number)), [
+        Gap(head.stream, first_number, last_number, RETENTION_REASON),
+        *later_gaps,
+    ]
 
 
 @dataclass(slots=True)
 class MemoryLog:
-    """Events in dicts and sorted lists. With `most_bytes`, what would take more raises LogFullError."""
+    """An event log in dicts and sorted lists. An append beyond `most_bytes` raises LogFullError."""
 
-    most_bytes: int = MOST
-    _streams: dict[Stream, Known] = field(default_factory=dict)
-    _events: dict[str, dict[Place, Event]] = field(default_factory=dict)  # by channel
-    _places: dict[str, list[Place]] = field(default_factory=dict)  # the same in order
+    most_bytes: int = MAX_INT64
+    _streams: dict[Stream, StreamState] = field(default_factory=dict)
+    _events_by_channel: dict[str, dict[Place, Event]] = field(default_factory=dict)
+    _ordered_places: dict[str, list[Place]] = field(default_factory=dict)  # by channel, sorted
     _marks: dict[str, bytes] = field(default_factory=dict)
-    _size: int = 0
+    _total_bytes: int = 0
     _open: bool = False
 
     def open(self) -> None:
-        """Be ready."""
+        """Open the log. Raises LogError if it is already open."""
         if self._open:
-            raise LogError("event log: it is open already")
+            raise LogError("event log: already open")
         self._open = True
 
     def close(self) -> None:
-        """Let go of it."""
+        """Close the log."""
         self._open = False
 
     def append(self, events: Sequence[Event], marks: dict[str, bytes] | None = None) -> None:
-        """Keep events and marks, together."""
-        heads = advanced(events, self._head)
-        more = sum(map(weight, events))
-        if self._size + more > self.most_bytes:
-            raise LogFullError(f"event log: no room for {len(events)} events in {self.most_bytes} bytes")
+        """Store events and marks atomically."""
+        heads = advance_heads(events, self._head)
+        added_bytes = sum(map(event_bytes, events))
+        if self._total_bytes + added_bytes > self.most_bytes:
+            raise LogFullError(
+                f"event log: no room for {len(events)} more events within {self.most_bytes} bytes"
+            )
         for stream, head in heads.items():
-            self._streams.setdefault(stream, Known(head)).head = head
+            self._streams.setdefault(stream, StreamState(head)).head = head
         for event in events:
             place = event.place
-            self._events.setdefault(event.channel, {})[place] = event
-            insort(self._places.setdefault(event.channel, []), place)
+            self._events_by_channel.setdefault(event.channel, {})[place] = event
+            insort(self._ordered_places.setdefault(event.channel, []), place)
             self._streams[event.stream].events.append(event)
         self._marks.update(marks or {})
-        self._size += more
+        self._total_bytes += added_bytes
 
     def _head(self, stream: Stream) -> Head | None:
-        known = self._streams.get(stream)
-        return known.head if known is not None else None
+        state = self._streams.get(stream)
+        return state.head if state is not None else None
 
     def heads(self) -> list[Head]:
-        """How far each stream goes."""
-        return [known.head for _, known in sorted(self._streams.items())]
+        """Return the head of each stream."""
+        return [state.head for _, state in sorted(self._streams.items())]
 
     def after(self, stream: Stream, number: int, most_bytes: int) -> list[Event]:
-        """A stream's events behind a number, in order, up to so many bytes as they are sent."""
+        """Return a stream's events after a number, in order, up to `most_bytes` but at least one."""
         found: list[Event] = []
         events = self._streams[stream].events if stream in self._streams else []
         for event in events[bisect_right(events, number, key=lambda event: event.number) :]:
-            most_bytes -= weight(event)
+            most_bytes -= event_bytes(event)
             if found and most_bytes < 0:
                 break
             found.append(event)
         return found
 
     def ordered(self, channel: str, since: Place | None, until_us: int, limit: int) -> list[Event]:
-        """A channel's events in its order."""
-        places = self._places.get(channel, [])
+        """Return a channel's events in order, after a place and up to a time."""
+        places = self._ordered_places.get(channel, [])
         first = bisect_right(places, since) if since is not None else 0
         last = bisect_right(places, until_us, key=lambda place: place.at)
-        return [self._events[channel][place] for place in places[first:last][: max(limit, 0)]]
+        return [self._events_by_channel[channel][place] for place in places[first:last][: max(limit, 0)]]
 
     def skip(self, gap: Gap) -> None:
-        """Mark that a stream goes on behind a gap."""
-        if (found := skipped(self._head(gap.stream), gap)) is not None:
-            known = self._streams.setdefault(gap.stream, Known(found[0]))
-            known.head = found[0]
-            known.gaps.append(found[1])
+        """Record a gap, after which the stream continues."""
+        if (head_and_gap := skip_to_gap_end(self._head(gap.stream), gap)) is not None:
+            state = self._streams.setdefault(gap.stream, StreamState(head_and_gap[0]))
+            state.head = head_and_gap[0]
+            state.gaps.append(head_and_gap[1])
 
     def gaps(self, channel: str) -> list[Gap]:
-        """The gaps of a channel."""
-        return sorted(g for s, known in self._streams.items() if s.channel == channel for g in known.gaps)
+        """Return the gaps of a channel."""
+        return sorted(
+            gap for stream, state in self._streams.items() if stream.channel == channel for gap in state.gaps
+        )
 
     def prune(self, before_us: int, most_bytes: int, spare: Iterable[str]) -> int:
-        """Retention."""
-        spared = set(spare)
-        lasts: dict[Stream, int] = {}
-        size = self._size
-
-        def along(known: Known) -> Iterator[tuple[int, Stream, int, int]]:
-            for event in known.events:
-                yield event.at, event.stream, event.number, weight(event)
-
-        streams = [known for stream, known in self._streams.items() if stream.channel not in spared]
-        for at, stream, number, takes in heapq.merge(*map(along, streams)):
-            if at >= before_us and size <= most_bytes:
+        """Apply retention: remove old events, then the oldest until the log fits into `most_bytes`."""
+        spared_channels = set(spare)
+        last_numbers: dict[Stream, int] = {}
+        total_bytes = self._total_bytes
+
+        def events_by_number(state: StreamState) -> Iterator[tuple[int, Stream, int, int]]:
+            for event in state.events:
+                yield event.at, event.stream, event.number, event_bytes(event)
+
+        streams = [state for stream, state in self._streams.items() if stream.channel not in spared_channels]
+        for at, stream, number, size in heapq.merge(*map(events_by_number, streams)):
+            if at >= before_us and total_bytes <= most_bytes:
                 break
-            lasts[stream] = number
-            size -= takes
-        return sum(self._take(self._streams[stream], last) for stream, last in lasts.items())
-
-    def _take(self, known: Known, last: int) -> int:
-        count = bisect_right(known.events, last, key=lambda event: event.number)
-        going, known.events = known.events[:count], known.events[count:]
-        for event in going:
-            self._forget(event)
-        known.head, known.gaps = pruned(known.head, known.gaps, going[0].number, last)
+            last_numbers[stream] = number
+            total_bytes -= size
+        return sum(self._remove_events(self._streams[stream], last) for stream, last in last_numbers.items())
+
+    def _remove_events(self, state: StreamState, last_number: int) -> int:
+        count = bisect_right(state.events, last_number, key=lambda event: event.number)
+        removed, state.events = state.events[:count], state.events[count:]
+        for event in removed:
+            self._remove_event(event)
+        state.head, state.gaps = prune_stream(state.head, state.gaps, removed[0].number, last_number)
         return count
 
-    def _forget(self, event: Event) -> None:
-        del self._events[event.channel][event.place]
-        places = self._places[event.channel]
+    def _remove_event(self, event: Event) -> None:
+        del self._events_by_channel[event.channel][event.place]
+        places = self._ordered_places[event.channel]
         del places[bisect_left(places, event.place)]
-        self._size -= weight(event)
+        self._total_bytes -= event_bytes(event)
 
     def drop(self, channel: str, stream: Stream | None = None) -> None:
-        """Forget a channel, or one stream of it, gaps included."""
-        for each in [s for s in self._streams if s.channel == channel and stream in (None, s)]:
-            for event in self._streams.pop(each).events:
-                self._forget(event)
+        """Remove a channel, or one stream of it, including its gaps."""
+        for dropped_stream in [s for s in self._streams if s.channel == channel and stream in (None, s)]:
+            for event in self._streams.pop(dropped_stream).events:
+                self._remove_event(event)
 
     def mark(self, name: str) -> bytes | None:
-        """A small value kept under a name."""
+        """Return the value of a mark, or None."""
         return self._marks.get(name)
 
     def size_bytes(self) -> int:
-        """About what the events take."""
-        return self._size
+        """Return the approximate size of the events."""
+        return self._total_bytes
--- a/rowanrack/store/log_sqlite.py
+++ b/rowanrack/store/log_sqlite.py
@@ -1,9 +1,10 @@
-"""A `LogStore` in one SQLite file, with its write-ahead file and a lock file beside it.
+"""A `LogStore` in one SQLite file, with its write-ahead log (WAL) and a lock file beside it.
 
-A call that returned outlasts the process (WAL, synchronous=NORMAL); a power cut may take the last ones, never
-part of one. Every event, head, gap and mark carries a CRC-32 of all that it says: what was damaged on disk is
-LogError in one line, never handed out as another event. `check` looks at the whole file. One thread opens and
-uses it. Source: docs/channels.md; https://sqlite.org/fileformat2.html, https://sqlite.org/wal.html.
+The effect of a call that returned survives the end of the process (WAL, synchronous=NORMAL). A power failure
+may lose the last calls, but never a part of one. Every event, head, gap and mark has a CRC-32 of its content:
+damage on disk raises LogError with a one-line text and never yields a wrong event. `check` verifies the whole
+file. The store is opened and used by one thread. Source: docs/channels.md;
+https://sqlite.org/fileformat2.html, https://sqlite.org/wal.html.
 """
 
 from __future__ import annotations
@@ -24,11 +25,12 @@
 
 from rowanrack.channels.events import CHAIN_BYTES, Event, Gap, Head, Place, Stream
 from rowanrack.channels.ports import LogError, LogFullError
-from rowanrack.store.log_memory import MOST, advanced, pruned, skipped, weight
+from rowanrack.store.log_memory import MAX_INT64, advance_heads, event_bytes, prune_stream, skip_to_gap_end
 
-APPLICATION = 0x726F776C  # "rowl" in the file's header
-# What leads from each format to the next; an empty file is format 0.
-STEPS = (
+APPLICATION_ID = 0x726F776C  # "rowl", stored in the file's header
+# Each statement list migrates a file to the next format; an empty file has format 0. A row of `dropped` is a
+# stream that was removed and whose events are still to be deleted.
+MIGRATIONS = (
     """
     CREATE TABLE channels (id INTEGER PRIMARY KEY, name TEXT NOT NULL UNIQUE);
     CREATE TABLE kinds (id INTEGER PRIMARY KEY, name TEXT NOT NULL UNIQUE);
@@ -43,102 +45,110 @@
         why TEXT NOT NULL, sum INTEGER NOT NULL, PRIMARY KEY (stream, first)) WITHOUT ROWID;
     CREATE TABLE marks (name TEXT PRIMARY KEY, value BLOB NOT NULL, sum INTEGER NOT NULL) WITHOUT ROWID;
     CREATE TABLE dropped (stream INTEGER PRIMARY KEY)
-    """,  # a row of `dropped` is a stream that is forgotten, whose events are still to be deleted
+    """,
+)
+PAGE_BYTES = 4096
+# Removing events may exceed the size limit by this, because the gaps that retention leaves take space as
+# well.
+SPARE_PAGE_COUNT = 64
+MIN_WAL_BYTES, MAX_WAL_BYTES = 128 * 1024, 8 * 1024 * 1024  # limits for the WAL's share of the space
+PRUNE_EVENT_COUNT = 5000  # most events that one transaction deletes
+MIN_PRUNE_EVENT_COUNT = 32  # deleted at least by one transaction while the file is too large
+EVENT_ROW_OVERHEAD_BYTES = 120  # estimated size of an event's row without its body
+VACUUM_PAGE_COUNT = 256  # pages released to the disk in one transaction
+CRC_BYTES = 4  # size of the CRC that precedes an event's chain and payload
+SELECT_EVENTS_AFTER = (
+    "SELECT number, at, tick, kind, body FROM events WHERE stream = ? AND number > ? ORDER BY number"
 )
-PAGE = 4096
-SPARE_PAGES = 64  # beyond the limit while room is being made: what retention leaves takes a little itself
-WAL_LEAST, WAL_MOST = 128 * 1024, 8 * 1024 * 1024  # of the room, what the write-ahead file is given
-STEP = 5000  # events that one transaction of retention deletes at most
-STEP_LEAST = 32
-EACH = 120  # about what an event takes beside its body, for retention's estimate
-VACUUM = 256  # pages given back in one transaction
-SUM = 4  # bytes of an event's CRC, in front of its chain and payload
-ALONG = "SELECT number, at, tick, kind, body FROM events WHERE stream = ? AND number > ? ORDER BY number"
 
 Row = tuple[Any, ...]
 
 
-encoded = msgspec.msgpack.Encoder().encode  # an event is encoded as the tuple of its fields
+encode = msgspec.msgpack.Encoder().encode  # an event is encoded as an array of its fields
 
 
-def summed(*said: object) -> int:
-    """The CRC-32 of what a row says."""
-    return zlib.crc32(encoded(said))
+def row_crc(*stored: object) -> int:
+    """Return the CRC-32 of the values of a row."""
+    return zlib.crc32(encode(stored))
 
 
 @dataclass(slots=True)
 class SqliteLog:
-    """Events in a SQLite file that takes, with its write-ahead file, no more than `most_bytes`.
+    """An event log in a SQLite file that takes, together with its WAL, at most `most_bytes`.
 
-    It needs 512 KiB whatever `most_bytes` says. A single call may let the write-ahead file go beyond by what
-    that call itself changes.
+    The minimum is 512 KiB, whatever the value of `most_bytes`. A single call may exceed the limit in the WAL
+    by what the call itself changes.
     """
 
     path: Path
     most_bytes: int
     factory: type[sqlite3.Connection] = sqlite3.Connection
-    _lock: int = -1
+    _lock_fd: int = -1
     _connection: sqlite3.Connection | None = None
-    _loaded: bool = False
-    _heads: dict[Stream, tuple[int, Head]] = field(default_factory=dict)  # with the stream's id
-    _channels: dict[str, int] = field(default_factory=dict)
-    _kinds: dict[str, int] = field(default_factory=dict)
+    _state_loaded: bool = False
+    _heads: dict[Stream, tuple[int, Head]] = field(default_factory=dict)  # row id and head
+    _channel_ids: dict[str, int] = field(default_factory=dict)
+    _kind_ids: dict[str, int] = field(default_factory=dict)
     _kind_names: dict[int, str] = field(default_factory=dict)
-    _next_stream: int = 1
-    _pages: int = 0  # the limit that the connection has; 0: another one
+    _next_stream_id: int = 1
+    _page_limit: int = 0  # the connection's `max_page_count`; 0 if it is unknown
 
-    # Opening, and what failures come to.
+    # Opening, transactions and error handling.
 
     def open(self) -> None:
-        """Be ready. Raises LogError: it is in use, damaged past use, from a newer version, or no log."""
-        if self._lock >= 0:
-            raise LogError(f"{self.path.name}: it is open already")
+        """Open the file.
+
+        Raises LogError if it is in use, damaged, from a newer version, or not an event log.
+        """
+        if self._lock_fd >= 0:
+            raise LogError(f"{self.path.name}: already open")
         try:
-            self._lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self._lock_fd = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            fcntl.flock(self._lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             self.close()
             blocked = isinstance(error, BlockingIOError)
             why = "another process has it open" if blocked else error.strerror or error
             raise LogError(f"{self.path.name}: {why}") from None
         try:
-            self._ready()
+            self._ready_connection()
             with contextlib.suppress(LogFullError):
-                self._purge()
+                self._delete_dropped()
         except LogError:
             self.close()
             raise
 
     def close(self) -> None:
-        """Let go of it."""
-        self._lose()
-        if self._lock >= 0:
-            os.close(self._lock)
-            self._lock = -1
-
-    def _lose(self) -> None:
-        """Give the connection up: the next call makes a new one."""
-        connection, self._connection, self._loaded = self._connection, None, False
+        """Close the file and release its lock."""
+        self._close_connection()
+        if self._lock_fd >= 0:
+            os.close(self._lock_fd)
+            self._lock_fd = -1
+
+    def _close_connection(self) -> None:
+        """Close the connection; the next call opens a new one."""
+        connection, self._connection, self._state_loaded = self._connection, None, False
         if connection is not None:
             with contextlib.suppress(sqlite3.Error):
                 connection.close()
 
-    def _ready(self) -> sqlite3.Connection:
-        """The connection, made anew if it was lost, with all heads known."""
-        if self._lock < 0:
-            raise LogError(f"{self.path.name}: it is not open")
+    def _ready_connection(self) -> sqlite3.Connection:
+        """Return the connection with all heads loaded, reopening it if needed."""
+        if self._lock_fd < 0:
+            raise LogError(f"{self.path.name}: not open")
         try:
             if self._connection is None:
                 self._connection = self._connect()
-            if not self._loaded:
-                self._load(self._connection)
+            if not self._state_loaded:
+                self._load_state(self._connection)
         except (sqlite3.Error, TypeError, ValueError) as error:
-            self._lose()
-            raise self._said(error) from None
+            self._close_connection()
+            raise self._log_error(error) from None
         return self._connection
 
     def _connect(self) -> sqlite3.Connection:
-        self._pages = 0
+        """Open and prepare a connection."""
+        self._page_limit = 0
         connection = sqlite3.connect(self.path, isolation_level=None, factory=self.factory)
         try:
             connection.execute("PRAGMA locking_mode=EXCLUSIVE")
@@ -149,231 +159,258 @@
         return connection
 
     def _prepare(self, connection: sqlite3.Connection) -> None:
-        (application,) = connection.execute("PRAGMA application_id").fetchone()
+        """Check the file's format, migrate it if needed, and set the connection's options."""
+        (application_id,) = connection.execute("PRAGMA application_id").fetchone()
         (version,) = connection.execute("PRAGMA user_version").fetchone()
-        (tables,) = connection.execute("SELECT count(*) FROM sqlite_master").fetchone()
-        if application != APPLICATION and (application or version or tables):
+        (table_count,) = connection.execute("SELECT count(*) FROM sqlite_master").fetchone()
+        if application_id != APPLICATION_ID and (application_id or version or table_count):
             raise LogError(f"{self.path.name}: not an event log of rowanrack")
-        if version > len(STEPS):
-            raise LogError(f"{self.path.name}: format {version}, and this version reads up to {len(STEPS)}")
-        connection.execute("PRAGMA auto_vacuum=INCREMENTAL")  # of use in an empty file alone
+        if version > len(MIGRATIONS):
+            raise LogError(
+                f"{self.path.name}: format {version}, but this version reads only up to {len(MIGRATIONS)}"
+            )
+        connection.execute("PRAGMA auto_vacuum=INCREMENTAL")  # has an effect only in an empty file
         (mode,) = connection.execute("PRAGMA journal_mode=WAL").fetchone()
         if mode != "wal":
-            raise LogError(f"{self.path.name}: no write-ahead file is possible there")
+            raise LogError(f"{self.path.name}: the file system does not support WAL mode")
         for pragma in ("synchronous=NORMAL", "wal_autocheckpoint=0", "temp_store=MEMORY", "cache_size=-8192"):
             connection.execute(f"PRAGMA {pragma}")
-        if version < len(STEPS):
+        if version < len(MIGRATIONS):
             connection.execute("BEGIN IMMEDIATE")
-            for statement in ";".join(STEPS[version:]).split(";"):
+            for statement in ";".join(MIGRATIONS[version:]).split(";"):
                 connection.execute(statement)
-            connection.execute(f"PRAGMA application_id={APPLICATION}")
-            connection.execute(f"PRAGMA user_version={len(STEPS)}")
+            connection.execute(f"PRAGMA application_id={APPLICATION_ID}")
+            connection.execute(f"PRAGMA user_version={len(MIGRATIONS)}")
             connection.execute("COMMIT")
 
-    def _limit(self, connection: sqlite3.Connection, more: int) -> None:
-        pages = max((self.most_bytes - self._wal_room) // PAGE, SPARE_PAGES) + more
-        if pages != self._pages:
-            (found,) = connection.execute(f"PRAGMA max_page_count={pages}").fetchone()
-            self._pages = pages if found == pages else 0  # a larger file is its own limit until it shrinks
-
-    def _load(self, connection: sqlite3.Connection) -> None:
-        self._channels = {name: i for i, name in connection.execute("SELECT id, name FROM channels")}
+    def _set_page_limit(self, connection: sqlite3.Connection, extra_pages: int) -> None:
+        """Limit the file to its share of the space and `extra_pages` more."""
+        page_limit = (
+            max((self.most_bytes - self._max_wal_bytes) // PAGE_BYTES, SPARE_PAGE_COUNT) + extra_pages
+        )
+        if page_limit != self._page_limit:
+            (actual_limit,) = connection.execute(f"PRAGMA max_page_count={page_limit}").fetchone()
+            # SQLite does not lower the limit below the file's present size.
+            self._page_limit = page_limit if actual_limit == page_limit else 0
+
+    def _load_state(self, connection: sqlite3.Connection) -> None:
+        """Read the heads and the ids of channels and kinds."""
+        self._channel_ids = {name: id_ for id_, name in connection.execute("SELECT id, name FROM channels")}
         self._kind_names = dict(connection.execute("SELECT id, name FROM kinds"))
-        self._kinds = {name: i for i, name in self._kind_names.items()}
-        names = {i: name for name, i in self._channels.items()}
+        self._kind_ids = {name: id_ for id_, name in self._kind_names.items()}
+        channel_names = {id_: name for name, id_ in self._channel_ids.items()}
         self._heads = {}
         for row in connection.execute("SELECT * FROM streams"):
-            stream, channel, site, life, floor, number, at, tick, chain, total = row
-            head = Head(Stream(names.get(channel, ""), site, life), floor, number, at, tick, chain)
-            if total != summed(*head):
-                raise LogError(f"{self.path.name}: damaged: the head of stream {stream}")
-            self._heads[head.stream] = stream, head
+            stream_id, channel_id, site, life, floor, number, at, tick, chain, crc = row
+            head = Head(Stream(channel_names.get(channel_id, ""), site, life), floor, number, at, tick, chain)
+            if crc != row_crc(*head):
+                raise LogError(f"{self.path.name}: damaged: the head of stream {stream_id}")
+            self._heads[head.stream] = stream_id, head
         (highest,) = connection.execute(
             "SELECT max(id) FROM (SELECT id FROM streams UNION ALL SELECT stream FROM dropped)"
         ).fetchone()
-        self._next_stream, self._loaded = (highest or 0) + 1, True
+        self._next_stream_id, self._state_loaded = (highest or 0) + 1, True
 
-    def _said(self, error: Exception) -> LogError:
-        """A failure in the terms of the port."""
+    def _log_error(self, error: Exception) -> LogError:
+        """Translate an error into a LogError or LogFullError."""
         if isinstance(error, LogError):
             return error
         code = getattr(error, "sqlite_errorcode", 0)
         text = f"{self.path.name}: {str(error) or type(error).__name__}".replace("\n", " ")
-        if code == sqlite3.SQLITE_FULL or (code & 0xFF == sqlite3.SQLITE_IOERR and self._no_room()):
+        if code == sqlite3.SQLITE_FULL or (code & 0xFF == sqlite3.SQLITE_IOERR and self._is_disk_full()):
             return LogFullError(f"{self.path.name}: no room left")
         return LogError(text if isinstance(error, sqlite3.Error) else f"{text}: damaged")
 
-    def _no_room(self) -> bool:
-        """Whether the disk, or what a file may grow to here, leaves no room for a few pages more."""
-        most, _ = resource.getrlimit(resource.RLIMIT_FSIZE)
-        sizes = [size for _, size in self._files()]
-        limited = most != resource.RLIM_INFINITY and max(sizes, default=0) + 16 * PAGE > most
-        return limited or os.statvfs(self.path.parent).f_bavail < 16
+    def _is_disk_full(self) -> bool:
+        """Return whether the disk or the file size limit has no room for a few more pages."""
+        max_file_bytes, _ = resource.getrlimit(resource.RLIMIT_FSIZE)
+        sizes = [size for _, size in self._file_sizes()]
+        file_size_limited = (
+            max_file_bytes != resource.RLIM_INFINITY
+            and max(sizes, default=0) + 16 * PAGE_BYTES > max_file_bytes
+        )
+        return file_size_limited or os.statvfs(self.path.parent).f_bavail < 16
 
     @contextlib.contextmanager
-    def _change(self, makes_room: bool = False) -> Iterator[sqlite3.Connection]:
-        """One transaction; what fails leaves nothing of itself."""
-        connection = self._ready()
+    def _transaction(self, makes_room: bool = False) -> Iterator[sqlite3.Connection]:
+        """Run one transaction, which is rolled back on any error.
+
+        With `makes_room`, it may exceed the page limit by `SPARE_PAGE_COUNT`.
+        """
+        connection = self._ready_connection()
         try:
-            self._limit(connection, SPARE_PAGES if makes_room else 0)
-            if self._checkpoint(connection) > self._wal_room and not makes_room:
-                raise LogFullError(f"{self.path.name}: no room left to take the write-ahead file over")
+            self._set_page_limit(connection, SPARE_PAGE_COUNT if makes_room else 0)
+            if self._checkpoint(connection) > self._max_wal_bytes and not makes_room:
+                raise LogFullError(f"{self.path.name}: no room left to checkpoint the WAL")
             connection.execute("BEGIN IMMEDIATE")
             yield connection
             connection.execute("COMMIT")
         except BaseException as error:
-            self._loaded = False
+            self._state_loaded = False
             code = getattr(error, "sqlite_errorcode", 0) & 0xFF
-            said = self._said(error) if isinstance(error, sqlite3.Error) else None  # before files change
+            # Translated before the rollback, which changes the files that `_log_error` looks at.
+            log_error = self._log_error(error) if isinstance(error, sqlite3.Error) else None
             try:
                 if connection.in_transaction:
                     connection.execute("ROLLBACK")
             except sqlite3.Error:
                 code = sqlite3.SQLITE_IOERR
             if code == sqlite3.SQLITE_IOERR:
-                self._lose()
-            if said is None or isinstance(error, sqlite3.ProgrammingError):
+                self._close_connection()
+            if log_error is None or isinstance(error, sqlite3.ProgrammingError):
                 raise
-            raise said from None
+            raise log_error from None
 
     @contextlib.contextmanager
-    def _reading(self) -> Iterator[sqlite3.Connection]:
-        connection = self._ready()
+    def _read_connection(self) -> Iterator[sqlite3.Connection]:
+        """Provide the connection for reading, and translate errors."""
+        connection = self._ready_connection()
         try:
             yield connection
         except sqlite3.ProgrammingError:
             raise
         except (sqlite3.Error, TypeError, ValueError) as error:
-            said = self._said(error)
+            log_error = self._log_error(error)
             if getattr(error, "sqlite_errorcode", 0) & 0xFF == sqlite3.SQLITE_IOERR:
-                self._lose()
-            raise said from None
+                self._close_connection()
+            raise log_error from None
 
-    # Room.
+    # Disk space.
 
     @property
-    def _wal_room(self) -> int:
-        return min(max(self.most_bytes // 4, WAL_LEAST), WAL_MOST)
+    def _max_wal_bytes(self) -> int:
+        """The WAL's share of the space."""
+        return min(max(self.most_bytes // 4, MIN_WAL_BYTES), MAX_WAL_BYTES)
 
-    def _files(self) -> list[tuple[str, int]]:
-        found = []
+    def _file_sizes(self) -> list[tuple[str, int]]:
+        """Return the path and size of each file of the database."""
+        sizes = []
         for name in (str(self.path), f"{self.path}-wal", f"{self.path}-shm"):
             with contextlib.suppress(FileNotFoundError):
-                found.append((name, os.stat(name).st_size))
-        return found
+                sizes.append((name, os.stat(name).st_size))
+        return sizes
 
     def _wal_size(self) -> int:
+        """Return the size of the WAL, 0 if it does not exist."""
         try:
             return os.stat(f"{self.path}-wal").st_size
         except FileNotFoundError:
             return 0
 
-    def _checkpoint(self, connection: sqlite3.Connection, least: int | None = None) -> int:
-        """Take the write-ahead file over into the file, once it is half of its room (or `least` bytes).
-
-        Returns how large it is.
-        """
-        if (size := self._wal_size()) > (self._wal_room // 2 if least is None else least):
+    def _checkpoint(self, connection: sqlite3.Connection, threshold_bytes: int | None = None) -> int:
+        """Checkpoint the WAL if it exceeds half of its limit (or `threshold_bytes`), and return its size."""
+        if (size := self._wal_size()) > (
+            self._max_wal_bytes // 2 if threshold_bytes is None else threshold_bytes
+        ):
             try:
                 connection.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchall()
             except sqlite3.OperationalError as error:
                 if error.sqlite_errorcode & 0xFF not in (sqlite3.SQLITE_FULL, sqlite3.SQLITE_IOERR):
-                    raise  # else all of it stays where it is, and may be taken over later
+                    raise  # a full disk only delays the checkpoint: the WAL stays valid
             size = self._wal_size()
         return size
 
     def size_bytes(self) -> int:
-        """What the store takes on disk."""
-        return sum(size for _, size in self._files())
+        """Return the size of the store on disk."""
+        return sum(size for _, size in self._file_sizes())
 
-    # The port.
+    # The `LogStore` interface.
 
     def append(self, events: Sequence[Event], marks: dict[str, bytes] | None = None) -> None:
-        """Keep events and marks, together. Raises ValueError if one is not the next of its stream."""
-        self._ready()
-        heads = advanced(events, self._head)
-        with self._change() as connection:
-            self._keep_heads(connection, heads.values())
+        """Store events and marks atomically. Raises ValueError if an event is not the next of its stream."""
+        self._ready_connection()
+        heads = advance_heads(events, self._head)
+        with self._transaction() as connection:
+            self._write_heads(connection, heads.values())
             if events:
-                rows = self._rows(connection, events)
+                rows = self._event_rows(connection, events)
                 connection.executemany("INSERT INTO events VALUES (?, ?, ?, ?, ?, ?, ?)", rows)
             for name, value in (marks or {}).items():
-                row = (name, value, summed(name, value))
+                row = (name, value, row_crc(name, value))
                 connection.execute("INSERT OR REPLACE INTO marks VALUES (?, ?, ?)", row)
 
     def _head(self, stream: Stream) -> Head | None:
-        known = self._heads.get(stream)
-        return known[1] if known is not None else None
+        id_and_head = self._heads.get(stream)
+        return id_and_head[1] if id_and_head is not None else None
 
-    def _keep_heads(self, connection: sqlite3.Connection, heads: Iterable[Head]) -> None:
+    def _write_heads(self, connection: sqlite3.Connection, heads: Iterable[Head]) -> None:
+        """Insert or update the rows of these heads."""
         rows: list[Row] = []
         for head in heads:
             if head.stream in self._heads:
-                number = self._heads[head.stream][0]
+                stream_id = self._heads[head.stream][0]
             else:
-                number, self._next_stream = self._next_stream, self._next_stream + 1
-            channel = self._named(connection, "channels", self._channels, head.stream.channel)
-            rows.append((number, channel, *head.stream[1:], *head[1:], summed(*head)))
-            self._heads[head.stream] = number, head
+                stream_id, self._next_stream_id = self._next_stream_id, self._next_stream_id + 1
+            channel_id = self._name_id(connection, "channels", self._channel_ids, head.stream.channel)
+            rows.append((stream_id, channel_id, *head.stream[1:], *head[1:], row_crc(*head)))
+            self._heads[head.stream] = stream_id, head
         if rows:
             statement = "INSERT OR REPLACE INTO streams VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
             connection.executemany(statement, rows)
 
     @staticmethod
-    def _named(connection: sqlite3.Connection, table: str, known: dict[str, int], name: str) -> int:
-        if name not in known:
-            known[name] = max(known.values(), default=0) + 1
-            connection.execute(f"INSERT INTO {table} VALUES (?, ?)", (known[name], name))
-        return known[name]
-
-    def _rows(self, connection: sqlite3.Connection, events: Sequence[Event]) -> list[Row]:
-        """The rows of events whose heads are kept already."""
-        keys: dict[tuple[str, str, str], tuple[int, int]] = {}
-        kinds, rows = self._kinds, []
+    def _name_id(connection: sqlite3.Connection, table: str, known_ids: dict[str, int], name: str) -> int:
+        """Return the id of a name in a table of names, inserting it if it is new."""
+        if name not in known_ids:
+            known_ids[name] = max(known_ids.values(), default=0) + 1
+            connection.execute(f"INSERT INTO {table} VALUES (?, ?)", (known_ids[name], name))
+        return known_ids[name]
+
+    def _event_rows(self, connection: sqlite3.Connection, events: Sequence[Event]) -> list[Row]:
+        """Return the rows of events whose heads are already written."""
+        ids_by_stream: dict[tuple[str, str, str], tuple[int, int]] = {}
+        kind_ids, rows = self._kind_ids, []
         for event in events:
-            name = event.channel, event.site, event.life
-            if (key := keys.get(name)) is None:
-                key = keys[name] = self._heads[Stream(*name)][0], self._channels[event.channel]
-            if (kind := kinds.get(event.kind)) is None:
-                kind = self._named(connection, "kinds", kinds, event.kind)
-                self._kind_names[kind] = event.kind
-            body = zlib.crc32(encoded(event)).to_bytes(SUM, "little") + event.chain + event.data
-            rows.append((key[0], event.number, key[1], event.at, event.tick, kind, body))
+            stream_key = event.channel, event.site, event.life
+            if (ids := ids_by_stream.get(stream_key)) is None:
+                ids = ids_by_stream[stream_key] = (
+                    self._heads[Stream(*stream_key)][0],
+                    self._channel_ids[event.channel],
+                )
+            if (kind_id := kind_ids.get(event.kind)) is None:
+                kind_id = self._name_id(connection, "kinds", kind_ids, event.kind)
+                self._kind_names[kind_id] = event.kind
+            body = zlib.crc32(encode(event)).to_bytes(CRC_BYTES, "little") + event.chain + event.data
+            rows.append((ids[0], event.number, ids[1], event.at, event.tick, kind_id, body))
         return rows
 
-    def _event(self, stream: Stream, number: int, at: int, tick: int, kind: int, body: bytes) -> Event:
-        """A row's event. Raises LogError if it is not the one that was kept."""
-        chain, data = body[SUM : SUM + CHAIN_BYTES], body[SUM + CHAIN_BYTES :]
-        event = Event(*stream, number, at, tick, self._kind_names.get(kind, ""), data, chain)
-        if zlib.crc32(encoded(event)).to_bytes(SUM, "little") != body[:SUM]:
+    def _decode_event(
+        self, stream: Stream, number: int, at: int, tick: int, kind_id: int, body: bytes
+    ) -> Event:
+        """Decode the event of a row. Raises LogError if its checksum does not match."""
+        chain, data = body[CRC_BYTES : CRC_BYTES + CHAIN_BYTES], body[CRC_BYTES + CHAIN_BYTES :]
+        event = Event(*stream, number, at, tick, self._kind_names.get(kind_id, ""), data, chain)
+        if zlib.crc32(encode(event)).to_bytes(CRC_BYTES, "little") != body[:CRC_BYTES]:
             raise LogError(f"{self.path.name}: damaged: event {event.id} of {event.channel}")
         return event
 
     def heads(self) -> list[Head]:
-        """How far each stream goes."""
-        self._ready()
+        """Return the head of each stream."""
+        self._ready_connection()
         return sorted(head for _, head in self._heads.values())
 
     def after(self, stream: Stream, number: int, most_bytes: int) -> list[Event]:
-        """A stream's events behind a number, in order, up to so many bytes as they are sent."""
+        """Return a stream's events after a number, in order, up to `most_bytes` but at least one."""
         found: list[Event] = []
-        with self._reading() as connection:
-            key = self._heads.get(stream, (-1, None))[0]
-            with contextlib.closing(connection.execute(ALONG, (key, min(number, MOST)))) as rows:
+        with self._read_connection() as connection:
+            stream_id = self._heads.get(stream, (-1, None))[0]
+            with contextlib.closing(
+                connection.execute(SELECT_EVENTS_AFTER, (stream_id, min(number, MAX_INT64)))
+            ) as rows:
                 for row in rows:
-                    event = self._event(stream, *row)
-                    most_bytes -= weight(event)
+                    event = self._decode_event(stream, *row)
+                    most_bytes -= event_bytes(event)
                     if found and most_bytes < 0:
                         break
                     found.append(event)
         return found
 
     def ordered(self, channel: str, since: Place | None, until_us: int, limit: int) -> list[Event]:
-        """A channel's events in its order."""
-        behind = since or Place(-MOST, -1, "", "", 0)
-        if behind.at > MOST or until_us < -MOST:
+        """Return a channel's events in order, after a place and up to a time."""
+        start = since or Place(-MAX_INT64, -1, "", "", 0)
+        if start.at > MAX_INT64 or until_us < -MAX_INT64:
             return []
-        behind = behind._replace(tick=min(behind.tick, MOST), number=min(behind.number, MOST))
+        start = start._replace(tick=min(start.tick, MAX_INT64), number=min(start.number, MAX_INT64))
         query = """
             SELECT s.site, s.life, e.number, e.at, e.tick, e.kind, e.body
             FROM events e INDEXED BY events_by_time CROSS JOIN streams s ON s.id = e.stream
@@ -381,152 +418,186 @@
                 AND (e.at, e.tick, s.site, s.life, e.number) > (?, ?, ?, ?, ?)
             ORDER BY e.at, e.tick, s.site, s.life, e.number LIMIT ?
         """
-        with self._reading() as connection:
-            key = self._channels.get(channel, -1)
-            bounds = (key, behind.at, behind.tick, min(until_us, MOST), *behind, max(limit, 0))
+        with self._read_connection() as connection:
+            channel_id = self._channel_ids.get(channel, -1)
+            bounds = (channel_id, start.at, start.tick, min(until_us, MAX_INT64), *start, max(limit, 0))
             rows = connection.execute(query, bounds).fetchall()
-            return [self._event(Stream(channel, *row[:2]), *row[2:]) for row in rows]
+            return [self._decode_event(Stream(channel, *row[:2]), *row[2:]) for row in rows]
 
     def skip(self, gap: Gap) -> None:
-        """Mark that a stream goes on behind a gap."""
-        self._ready()
-        if (found := skipped(self._head(gap.stream), gap)) is not None:
-            with self._change() as connection:
-                self._keep_heads(connection, [found[0]])
-                self._keep_gap(connection, self._heads[gap.stream][0], found[1])
+        """Record a gap, after which the stream continues."""
+        self._ready_connection()
+        if (head_and_gap := skip_to_gap_end(self._head(gap.stream), gap)) is not None:
+            with self._transaction() as connection:
+                self._write_heads(connection, [head_and_gap[0]])
+                self._write_gap(connection, self._heads[gap.stream][0], head_and_gap[1])
 
     @staticmethod
-    def _keep_gap(connection: sqlite3.Connection, stream: int, gap: Gap) -> None:
-        row = (stream, *gap[1:], summed(*gap))
+    def _write_gap(connection: sqlite3.Connection, stream_id: int, gap: Gap) -> None:
+        """Insert or update the row of a gap."""
+        row = (stream_id, *gap[1:], row_crc(*gap))
         connection.execute("INSERT OR REPLACE INTO gaps VALUES (?, ?, ?, ?, ?)", row)
 
     def gaps(self, channel: str) -> list[Gap]:
-        """The gaps of a channel."""
-        with self._reading() as connection:
-            streams = [(s, i) for s, (i, _) in sorted(self._heads.items()) if s.channel == channel]
-            return [gap for stream, key in streams for gap in self._gaps(connection, stream, key)]
-
-    def _gaps(self, connection: sqlite3.Connection, stream: Stream, key: int) -> list[Gap]:
-        found = []
+        """Return the gaps of a channel."""
+        with self._read_connection() as connection:
+            streams = [
+                (stream, stream_id)
+                for stream, (stream_id, _) in sorted(self._heads.items())
+                if stream.channel == channel
+            ]
+            return [gap for stream, stream_id in streams for gap in self._gaps(connection, stream, stream_id)]
+
+    def _gaps(self, connection: sqlite3.Connection, stream: Stream, stream_id: int) -> list[Gap]:
+        """Return the gaps of a stream. Raises LogError if one is damaged."""
+        gaps = []
         query = "SELECT first, last, why, sum FROM gaps WHERE stream = ? ORDER BY first"
-        for *said, total in connection.execute(query, (key,)):
-            gap = Gap(stream, *said)
-            if total != summed(*gap):
-                raise LogError(f"{self.path.name}: damaged: a gap of stream {key}")
-            found.append(gap)
-        return found
+        for *stored, crc in connection.execute(query, (stream_id,)):
+            gap = Gap(stream, *stored)
+            if crc != row_crc(*gap):
+                raise LogError(f"{self.path.name}: damaged: a gap of stream {stream_id}")
+            gaps.append(gap)
+        return gaps
 
     def mark(self, name: str) -> bytes | None:
-        """A small value kept under a name."""
-        with self._reading() as connection:
+        """Return the value of a mark, or None."""
+        with self._read_connection() as connection:
             row = connection.execute("SELECT value, sum FROM marks WHERE name = ?", (name,)).fetchone()
             if row is None:
                 return None
-            if row[1] != summed(name, row[0]):
+            if row[1] != row_crc(name, row[0]):
                 raise LogError(f"{self.path.name}: damaged: mark {name}")
             value: bytes = row[0]
             return value
 
     def check(self) -> None:
-        """Look at the whole file and all that it keeps. Raises LogError for the first damage."""
-        with self._reading() as connection:
-            (said,) = connection.execute("PRAGMA integrity_check(1)").fetchone()
-            if said != "ok":
-                raise LogError(f"{self.path.name}: damaged: {said}".replace("\n", " "))
-            for stream, (key, _) in self._heads.items():
-                self._gaps(connection, stream, key)
-                with contextlib.closing(connection.execute(ALONG, (key, 0))) as rows:
+        """Verify the whole file and its content. Raises LogError for the first damage."""
+        with self._read_connection() as connection:
+            (result,) = connection.execute("PRAGMA integrity_check(1)").fetchone()
+            if result != "ok":
+                raise LogError(f"{self.path.name}: damaged: {result}".replace("\n", " "))
+            for stream, (stream_id, _) in self._heads.items():
+                self._gaps(connection, stream, stream_id)
+                with contextlib.closing(connection.execute(SELECT_EVENTS_AFTER, (stream_id, 0))) as rows:
                     for row in rows:
-                        self._event(stream, *row)
+                        self._decode_event(stream, *row)
 
-    # Retention: in transactions of a bounded size, so that the write-ahead file stays small.
+    # Retention runs in transactions of a bounded size, so that the WAL stays small.
 
     def prune(self, before_us: int, most_bytes: int, spare: Iterable[str]) -> int:
-        """Retention. A failure once some events went is no failure: it returns how many."""
-        spared, went = set(spare), 0
+        """Apply retention and return the number of removed events.
+
+        An error after some events were removed is not raised.
+        """
+        spared_channels, removed = set(spare), 0
         with contextlib.suppress(LogFullError):
-            self._purge()
+            self._delete_dropped()
         try:
-            while count := self._prune_step(before_us, most_bytes, spared):
-                went += count
+            while count := self._prune_step(before_us, most_bytes, spared_channels):
+                removed += count
         except LogError:
-            if not went:
+            if not removed:
                 raise
         self._shrink()
-        return went
+        return removed
 
-    def _prune_step(self, before_us: int, most_bytes: int, spared: set[str]) -> int:
-        with self._reading() as connection:
+    def _prune_step(self, before_us: int, most_bytes: int, spared_channels: set[str]) -> int:
+        """Remove a bounded number of the oldest events, and return how many."""
+        with self._read_connection() as connection:
             (pages,) = connection.execute("PRAGMA page_count").fetchone()
-            (free,) = connection.execute("PRAGMA freelist_count").fetchone()
-            over, count = (pages - free) * PAGE - most_bytes, 0
-            least = STEP_LEAST if over > 0 else 0
-            firsts: dict[Stream, int] = {}
-            lasts: dict[Stream, int] = {}
-            streams = [(s, key) for s, (key, _) in self._heads.items() if s.channel not in spared]
-            with contextlib.ExitStack() as opened:
-                cursors = [opened.enter_context(contextlib.closing(connection.cursor())) for _ in streams]
-                along = [self._along(cursor, *each) for cursor, each in zip(cursors, streams, strict=True)]
-                for at, stream, number, takes in heapq.merge(*along):
-                    if (at >= before_us and over <= 0 and count >= least) or count >= STEP:
+            (free_pages,) = connection.execute("PRAGMA freelist_count").fetchone()
+            excess_bytes, count = (pages - free_pages) * PAGE_BYTES - most_bytes, 0
+            min_count = MIN_PRUNE_EVENT_COUNT if excess_bytes > 0 else 0
+            first_numbers: dict[Stream, int] = {}
+            last_numbers: dict[Stream, int] = {}
+            streams = [
+                (stream, stream_id)
+                for stream, (stream_id, _) in self._heads.items()
+                if stream.channel not in spared_channels
+            ]
+            with contextlib.ExitStack() as exit_stack:
+                cursors = [exit_stack.enter_context(contextlib.closing(connection.cursor())) for _ in streams]
+                event_iterators = [
+                    self._oldest_first(cursor, *stream_and_id)
+                    for cursor, stream_and_id in zip(cursors, streams, strict=True)
+                ]
+                for at, stream, number, size in heapq.merge(*event_iterators):
+                    if (
+                        at >= before_us and excess_bytes <= 0 and count >= min_count
+                    ) or count >= PRUNE_EVENT_COUNT:
                         break
-                    firsts.setdefault(stream, number)
-                    lasts[stream] = number
-                    over, count = over - takes, count + 1
+                    first_numbers.setdefault(stream, number)
+                    last_numbers[stream] = number
+                    excess_bytes, count = excess_bytes - size, count + 1
         if not count:
             return 0
-        with self._change(makes_room=True) as connection:
-            for stream, last in lasts.items():
-                key, head = self._heads[stream]
-                head, gaps = pruned(head, self._gaps(connection, stream, key), firsts[stream], last)
-                connection.execute("DELETE FROM events WHERE stream = ? AND number <= ?", (key, last))
-                connection.execute("DELETE FROM gaps WHERE stream = ? AND last <= ?", (key, last))
-                self._keep_heads(connection, [head])
-                self._keep_gap(connection, key, gaps[0])
+        with self._transaction(makes_room=True) as connection:
+            for stream, last_number in last_numbers.items():
+                stream_id, head = self._heads[stream]
+                head, gaps = prune_stream(
+                    head, self._gaps(connection, stream, stream_id), first_numbers[stream], last_number
+                )
+                connection.execute(
+                    "DELETE FROM events WHERE stream = ? AND number <= ?", (stream_id, last_number)
+                )
+                connection.execute(
+                    "DELETE FROM gaps WHERE stream = ? AND last <= ?", (stream_id, last_number)
+                )
+                self._write_heads(connection, [head])
+                self._write_gap(connection, stream_id, gaps[0])
         return count
 
     @staticmethod
-    def _along(cursor: sqlite3.Cursor, stream: Stream, key: int) -> Iterator[tuple[int, Stream, int, int]]:
+    def _oldest_first(
+        cursor: sqlite3.Cursor, stream: Stream, stream_id: int
+    ) -> Iterator[tuple[int, Stream, int, int]]:
+        """Yield time, stream, number and estimated size of a stream's events, the oldest first."""
         query = "SELECT at, number, length(body) FROM events WHERE stream = ? ORDER BY number"
-        for at, number, size in cursor.execute(query, (key,)):
-            yield at, stream, number, EACH + size
+        for at, number, size in cursor.execute(query, (stream_id,)):
+            yield at, stream, number, EVENT_ROW_OVERHEAD_BYTES + size
 
     def _shrink(self) -> None:
-        """Give free pages back to the disk; what fails of it is done another time."""
-        with contextlib.suppress(LogError), self._reading() as connection:
+        """Release free pages to the disk. Errors are ignored: the next call continues."""
+        with contextlib.suppress(LogError), self._read_connection() as connection:
             while connection.execute("PRAGMA freelist_count").fetchone()[0]:
-                connection.execute(f"PRAGMA incremental_vacuum({VACUUM})").fetchall()
+                connection.execute(f"PRAGMA incremental_vacuum({VACUUM_PAGE_COUNT})").fetchall()
                 self._checkpoint(connection)
             self._checkpoint(connection, 0)
 
     def drop(self, channel: str, stream: Stream | None = None) -> None:
-        """Forget a channel, or one stream of it: it is forgotten at once, its room is free a little later."""
-        self._ready()
-        going = [s for s in self._heads if s.channel == channel and stream in (None, s)]
-        if not going:
+        """Remove a channel, or one stream of it, at once; its disk space is released a little later."""
+        self._ready_connection()
+        dropped_streams = [
+            candidate
+            for candidate in self._heads
+            if candidate.channel == channel and stream in (None, candidate)
+        ]
+        if not dropped_streams:
             return
-        with self._change(makes_room=True) as connection:
-            for each in going:
-                key, _ = self._heads.pop(each)
-                connection.execute("DELETE FROM streams WHERE id = ?", (key,))
-                connection.execute("DELETE FROM gaps WHERE stream = ?", (key,))
-                connection.execute("INSERT INTO dropped VALUES (?)", (key,))
+        with self._transaction(makes_room=True) as connection:
+            for dropped_stream in dropped_streams:
+                stream_id, _ = self._heads.pop(dropped_stream)
+                connection.execute("DELETE FROM streams WHERE id = ?", (stream_id,))
+                connection.execute("DELETE FROM gaps WHERE stream = ?", (stream_id,))
+                connection.execute("INSERT INTO dropped VALUES (?)", (stream_id,))
         with contextlib.suppress(LogError):
-            self._purge()
-
-    def _purge(self) -> None:
-        """Delete the events of forgotten streams."""
-        with self._reading() as connection:
-            going = [key for (key,) in connection.execute("SELECT stream FROM dropped")]
-        for key in going:
-            more = True
-            while more:
-                with self._change(makes_room=True) as connection:
+            self._delete_dropped()
+
+    def _delete_dropped(self) -> None:
+        """Delete the events of dropped streams."""
+        with self._read_connection() as connection:
+            stream_ids = [stream_id for (stream_id,) in connection.execute("SELECT stream FROM dropped")]
+        for stream_id in stream_ids:
+            more_events = True
+            while more_events:
+                with self._transaction(makes_room=True) as connection:
                     query = "SELECT number FROM events WHERE stream = ? ORDER BY number LIMIT 1 OFFSET ?"
-                    row = connection.execute(query, (key, STEP)).fetchone()
-                    last, more = (row[0], True) if row is not None else (MOST, False)
-                    connection.execute("DELETE FROM events WHERE stream = ? AND number <= ?", (key, last))
-                    if not more:
-                        connection.execute("DELETE FROM dropped WHERE stream = ?", (key,))
-        if going:
+                    row = connection.execute(query, (stream_id, PRUNE_EVENT_COUNT)).fetchone()
+                    last_number, more_events = (row[0], True) if row is not None else (MAX_INT64, False)
+                    connection.execute(
+                        "DELETE FROM events WHERE stream = ? AND number <= ?", (stream_id, last_number)
+                    )
+                    if not more_events:
+                        connection.execute("DELETE FROM dropped WHERE stream = ?", (stream_id,))
+        if stream_ids:
             self._shrink()
--- a/rowanrack/store/outages.py
+++ b/rowanrack/store/outages.py
@@ -1,7 +1,7 @@
-"""Outages on disk: what a sender knows of endpoints that are out or cold, for the process after it.
+"""Outages on disk: what a sender knows of endpoints in an outage or slow start, for the next process.
 
-Times are those of the monotonic clock, which goes on over a restart of the process. What was written too long
-ago, or by a clock that began anew with the machine, is not believed.
+Times are read from the monotonic clock, which continues across a restart of the process. A file is ignored if
+it is too old, or if it was written before the machine rebooted and the clock started again.
 """
 
 from __future__ import annotations
@@ -10,54 +10,58 @@
 import logging
 from pathlib import Path
 
-from rowanrack.store.whole_file import replace
+from rowanrack.store.whole_file import replace_file
 from rowanspindle import Outage
 
 log = logging.getLogger(__name__)
 
-FILE = "outages.json"
-MOST = 512  # outages that are kept, the latest: some 40 KiB
-REFRESH_US = 2_000_000  # between writes while nothing changes: they show until when this was known
+FILE_NAME = "outages.json"
+MAX_OUTAGE_COUNT = 512  # only the latest outages are kept; the file is then about 40 KiB
+REWRITE_INTERVAL_US = 2_000_000  # while nothing changes, the file is rewritten to update its time
 
 
 class OutageFile:
-    """The outages in the folder that lasts."""
+    """The outages in the state folder."""
 
     def __init__(self, folder: Path) -> None:
-        self.path = folder / FILE
-        self._written: tuple[Outage, ...] = ()
-        self._written_us = 0
-        self._failing = False
+        self.path = folder / FILE_NAME
+        self._written_outages: tuple[Outage, ...] = ()
+        self._written_at_us = 0
+        self._reported_failure = False
 
-    def read(self, now_us: int, believed_us: int) -> tuple[Outage, ...]:
-        """The outages that were known at most so long ago; none if the file says nothing that can be read."""
+    def read(self, now_us: int, max_age_us: int) -> tuple[Outage, ...]:
+        """Return the recorded outages; none if the file is older than `max_age_us`, missing or invalid."""
         try:
             document = json.loads(self.path.read_bytes())
-            known_us = document["known_us"]
+            recorded_at_us = document["known_us"]
             rows = document["outages"]
-            outages = tuple(Outage(str(target), int(struck), back) for target, struck, back in rows)
+            outages = tuple(Outage(str(target), int(began_at), back_at) for target, began_at, back_at in rows)
             if not all(isinstance(outage.back_at, int | None) for outage in outages):
-                raise ValueError("a time is no whole number")
-            known = 0 <= now_us - int(known_us) <= believed_us
+                raise ValueError("a time is not an integer")
+            recent = 0 <= now_us - int(recorded_at_us) <= max_age_us
         except FileNotFoundError:
             return ()
         except (OSError, ValueError, TypeError, KeyError, RecursionError) as error:
-            log.warning("%s: not read, outages from before are found anew: %s", self.path.name, error)
+            log.warning(
+                "%s: cannot be read, starting without the recorded outages: %s", self.path.name, error
+            )
             return ()
-        return outages if known else ()
+        return outages if recent else ()
 
     def keep(self, outages: tuple[Outage, ...], now_us: int) -> None:
-        """Write the outages if they have changed, or now and then. What fails is tried again."""
-        outages = outages[-MOST:]
-        stale = bool(outages) and now_us - self._written_us >= REFRESH_US
-        if outages == self._written and not stale:
+        """Write the outages if they changed or the last write is too old. A failed write is retried later."""
+        outages = outages[-MAX_OUTAGE_COUNT:]
+        rewrite_due = bool(outages) and now_us - self._written_at_us >= REWRITE_INTERVAL_US
+        if outages == self._written_outages and not rewrite_due:
             return
         rows = [[outage.target, outage.began_at, outage.back_at] for outage in outages]
         try:
-            replace(self.path, json.dumps({"known_us": now_us, "outages": rows}))
+            replace_file(self.path, json.dumps({"known_us": now_us, "outages": rows}))
         except OSError as error:
-            if not self._failing:
-                log.warning("%s: not written, a restart would forget outages: %s", self.path.name, error)
-            self._failing = True
+            if not self._reported_failure:
+                log.warning(
+                    "%s: cannot be written, a restart would lose the outages: %s", self.path.name, error
+                )
+            self._reported_failure = True
             return
-        self._written, self._written_us, self._failing = outages, now_us, False
+        self._written_outages, self._written_at_us, self._reported_failure = outages, now_us, False
--- a/rowanrack/store/whole_file.py
+++ b/rowanrack/store/whole_file.py
@@ -1,27 +1,28 @@
-"""Small files that are always replaced whole: a reader sees the old text or the new one."""
+"""Atomic replacement of small files: a reader sees either the old content or the new one."""
 
 from __future__ import annotations
 
 import os
 from pathlib import Path
 
-Stamp = tuple[int, int, int]  # when it was written, its number on the disk, and its length
+FileVersion = tuple[int, int, int]  # modification time in nanoseconds, inode number, length in bytes
 
 
-def stamp_of(path: Path) -> Stamp:
-    """What tells one version of a file from another, however soon it follows. Raises OSError."""
+def file_version(path: Path) -> FileVersion:
+    """Return an identifier of a file's current version that changes with each replacement. Raises OSError."""
     found = path.stat()
     return found.st_mtime_ns, found.st_ino, found.st_size
 
 
-def replace(path: Path, text: str) -> Stamp:
-    """Write the file anew; its stamp. Raises OSError: the old text stays."""
-    fresh = path.with_suffix(f".{os.getpid()}.new")
+def replace_file(path: Path, text: str) -> FileVersion:
+    """Replace a file atomically and return its new version. Raises OSError; the old content then stays."""
+    temporary_path = path.with_suffix(f".{os.getpid()}.new")
     try:
-        fresh.write_text(text, encoding="utf-8")
-        stamp = stamp_of(fresh)  # before another process may have put its own in this one's place
-        os.replace(fresh, path)
+        temporary_path.write_text(text, encoding="utf-8")
+        # Read before the rename: afterwards another process may have replaced the file.
+        version = file_version(temporary_path)
+        os.replace(temporary_path, path)
     except OSError:
-        fresh.unlink(missing_ok=True)
+        temporary_path.unlink(missing_ok=True)
         raise
-    return stamp
+    return version
--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -15,7 +15,7 @@
 from rowanrack.core.exchange import Store
 from rowanrack.core.messages import End, Ending, Message
 from rowanrack.store.journal import Journal
-from rowanrack.store.memory import MemoryStore, Shelf
+from rowanrack.store.memory import MemoryStore, MessageState
 
 NOW = 1_000_000
 REFUSED, FAILED, DELIVERED = End(Ending.REFUSED, 700_000), End(Ending.FAILED), End(Ending.DELIVERED)
@@ -122,7 +122,7 @@
     def compact(self) -> None:
         """Tidy the file up."""
         self.store._compact()
-        self.store._compact_us = 0
+        self.store._compaction_retry_us = 0
 
     def kill(self) -> None:
         """End the process; the kernel keeps what it wrote."""
@@ -150,7 +150,7 @@
     """The same for the store in memory."""
 
     def __init__(self, kind: type[MemoryStore] = MemoryStore) -> None:
-        self.kind, self.shelf = kind, Shelf()
+        self.kind, self.shelf = kind, MessageState()
 
     def open(self) -> MemoryStore:
         """A new process."""
@@ -298,7 +298,7 @@
                     ledger.do(op)
                     assert ledger.store.recording() and len(ledger.sure) == 1, "one failure lasts"
                     file, data = set_up.store.file, set_up.store.path.read_bytes()
-                    assert file and (file.torn > file.size or not data[file.size :].strip(b"\0"))
+                    assert file and (file.torn_end > file.size or not data[file.size :].strip(b"\0"))
                 ledger.restart(how)
 
 
--- a/tests/contracts/test_log_stores.py
+++ b/tests/contracts/test_log_stores.py
@@ -22,8 +22,8 @@
 
 from rowanrack.channels.events import Event, Gap, Place, Stream
 from rowanrack.channels.ports import LogError, LogFullError, LogStore
-from rowanrack.store.log_memory import MOST, MemoryLog
-from rowanrack.store.log_sqlite import APPLICATION, SqliteLog
+from rowanrack.store.log_memory import MAX_INT64, MemoryLog
+from rowanrack.store.log_sqlite import APPLICATION_ID, SqliteLog
 
 FAR = 1 << 62
 
@@ -113,7 +113,7 @@
 def check_refused_whole(shelf: Shelf) -> None:
     shelf.store.append([ev("a", 1, 5)])
     for wrong in (
-        ev("a", 1, 6), ev("a", 3, 6), ev("c", 2, 6), ev("c", 0, 6), ev("a", 2, MOST + 1),
+        ev("a", 1, 6), ev("a", 3, 6), ev("c", 2, 6), ev("c", 0, 6), ev("a", 2, MAX_INT64 + 1),
         ev("a", 2, 6, chain=b""), ev("a", 2, 6, tick=1 << 70), ev("a", 2, 6, kind="\ud800"),
     ):  # fmt: skip
         with pytest.raises(ValueError):
@@ -157,7 +157,7 @@
     """Gives events in the order in which they came."""
 
     def ordered(self, channel: str, since: Place | None, until_us: int, limit: int) -> list[Event]:
-        found = [e for e in self._events.get(channel, {}).values() if e.at <= until_us]
+        found = [e for e in self._events_by_channel.get(channel, {}).values() if e.at <= until_us]
         return [e for e in found if since is None or e.place > since][:limit]
 
 
@@ -417,7 +417,7 @@
     raw(tmp_path / "other.db", "CREATE TABLE some (thing)")
     (tmp_path / "text.db").write_text("no database " * 100)
     for name, why in (
-        ("log.db", "format 9, and this version reads up to 1"),
+        ("log.db", "format 9, but this version reads only up to 1"),
         ("other.db", "not an event log of rowanrack"),
         ("text.db", "file is not a database"),
         ("none/log.db", "No such file or directory"),
@@ -426,7 +426,9 @@
         with pytest.raises(LogError, match=f"^{Path(name).name}: {why}$"):
             SqliteLog(tmp_path / name, 1 << 20).open()
         assert not held or (tmp_path / name).read_bytes() == held
-    raw(tmp_path / "new.db", f"PRAGMA application_id={APPLICATION}")  # format 0: killed before it had tables
+    raw(
+        tmp_path / "new.db", f"PRAGMA application_id={APPLICATION_ID}"
+    )  # format 0: killed before it had tables
     old = SqliteLog(tmp_path / "new.db", 1 << 20)
     old.open()
     old.append(batch("a", 1, 1))
--- a/tests/contracts/test_message_stores.py
+++ b/tests/contracts/test_message_stores.py
@@ -16,14 +16,14 @@
 
 from rowanrack.core.messages import Message
 from rowanrack.store.journal import (
-    AGAIN_US,
     BEGUN,
     MAGIC,
+    RETRY_DELAY_US,
     Journal,
     JournalError,
-    frame,
-    pack_text,
-    step_record,
+    encode_byte_strings,
+    encode_record,
+    encode_status,
 )
 from rowanrack.store.memory import MemoryStore
 from tests.contracts.stores import (
@@ -123,7 +123,7 @@
 class ForgetsEnds(Journal):
     """What a full disk refuses is dropped, as it was before."""
 
-    def _record(self, record: bytes) -> None:
+    def _write_or_queue(self, record: bytes) -> None:
         self._append(record)
 
 
@@ -131,26 +131,26 @@
     """A compaction drops the attempts that have begun."""
 
     @staticmethod
-    def _parts(message: Message) -> list[bytes]:
-        return Journal._parts(message)[:1]
+    def _message_records(message: Message) -> list[bytes]:
+        return Journal._message_records(message)[:1]
 
 
 class OldEndLasts(Journal):
     """A message that comes again keeps its old end behind a replay, as it was before."""
 
-    def _read(self, payload: bytes) -> None:
+    def _apply_record(self, payload: bytes) -> None:
         ends = dict(self.ends)
-        Journal._read(self, payload)
+        Journal._apply_record(self, payload)
         self.ends.update({i: e for i, e in ends.items() if i in self.owed})
 
 
 class LeavesTorn(Journal):
     """The next record goes behind what a failed write left."""
 
-    def _fails(self, error: OSError, wanted: int = 0) -> None:
+    def _handle_write_error(self, error: OSError, wanted: int = 0) -> None:
         if self.file is not None:
-            self.file.size = max(self.file.size, self.file.torn)
-        Journal._fails(self, error, wanted)
+            self.file.size = max(self.file.size, self.file.torn_end)
+        Journal._handle_write_error(self, error, wanted)
 
 
 class KeepsTorn(Journal):
@@ -181,7 +181,7 @@
     """The same as the first, in memory."""
 
     def behind(self) -> bool:
-        if self.shelf.full:
+        if self.durable.full:
             self._unwritten.clear()
         return MemoryStore.behind(self)
 
@@ -210,8 +210,9 @@
             check(bench)
 
 
-WHOLE = MAGIC + frame(b"T" + pack_text(b"m", b"c", b"t", b"p", b"", b"body") + bytes(16))  # without a key
-BEGAN = frame(step_record(BEGUN, "m", 0))
+# A message without a key.
+WHOLE = MAGIC + encode_record(b"T" + encode_byte_strings(b"m", b"c", b"t", b"p", b"", b"body") + bytes(16))
+BEGAN = encode_record(encode_status(BEGUN, "m", 0))
 
 
 @pytest.mark.parametrize(
@@ -222,9 +223,9 @@
         (bytes(100), False, ""),
         (BEGAN[:4] + b"\xff" + BEGAN[5:], False, ""),
         (b"\xff\xff\xff\x7f" + BEGAN[4:], False, ""),
-        (frame(bytes(1 << 20) + b"x") + BEGAN, False, ""),
-        (frame(b"Z" + pack_text(b"m")), False, "unreadable record"),
-        (frame(b"B" + b"\xff\xff\xff\xff"), False, "unreadable record"),
+        (encode_record(bytes(1 << 20) + b"x") + BEGAN, False, ""),
+        (encode_record(b"Z" + encode_byte_strings(b"m")), False, "unreadable record"),
+        (encode_record(b"B" + b"\xff\xff\xff\xff"), False, "unreadable record"),
     ],
 )
 def test_older_overlong_and_damaged_records(tmp_path: Path, behind: bytes, begun: bool, refused: str) -> None:
@@ -307,5 +308,5 @@
     with monkeypatch.context() as patch:
         patch.setattr("rowanrack.store.journal.os.open", short)
         assert second.absorb() is None and not second.shared()
-    now[0] += 2 * AGAIN_US
+    now[0] += 2 * RETRY_DELAY_US
     assert [m.id for m in second.absorb() or []] == ["a"]
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -46,7 +46,7 @@
         await rig.servers[0].asked(1)
         limit(process.child.pid, 100)  # under what the file has: its reserved room fails too
         answer.set()
-        await process.logged("the disk refuses writes, nothing new is taken: File too large")
+        await process.logged("cannot write, no new messages are accepted: File too large")
         assert (await client.submit("m2")).startswith(b"-BUSY")
         owed = peek(process.folder).owed
         assert list(owed) == ["m1"] and owed["m1"].unsettled
@@ -86,7 +86,7 @@
     desk.run(200_000)
     assert desk.journal.recording() and desk.exchange.submit(order(desk, "more")) is None
     lines = [r.message for r in caplog.records if r.levelno >= logging.WARNING]
-    assert len(lines) == 2 and "nothing new" in lines[0] and "room again" in lines[1]
+    assert len(lines) == 2 and "no new messages" in lines[0] and "room again" in lines[1]
 
 
 def test_a_sender_with_nothing_else_to_do_looks_whether_there_is_room(tmp_path: Path, disk: Disk) -> None:
@@ -189,15 +189,15 @@
             if journal.take(message):
                 owed.append(message)
         assert len(owed) > 10
-        for leg in range(3):
+        for attempt_number in range(3):
             for message in owed:
-                message.attempts_made = leg + 1
-                assert journal.begin(message, leg)
-                journal.never_ran(message, leg)
+                message.attempts_made = attempt_number + 1
+                assert journal.begin(message, attempt_number)
+                journal.never_ran(message, attempt_number)
         for message in owed:
             journal.end(message, End(Ending.FAILED))
             journal.told(message.id)
-        assert journal.file is not None and journal.file.size <= journal.file.room
+        assert journal.file is not None and journal.file.size <= journal.file.reserved_end
         now[0] += 100 * SECOND_US  # the ends are of no use any more
     assert max(most) <= budget
     journal.close()
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -10,7 +10,7 @@
 
 from rowanrack.core.messages import End, Ending, Message
 from rowanrack.net.http import Reply
-from rowanrack.store.journal import TIDY_EACH, Journal
+from rowanrack.store.journal import EXPIRY_CHECK_END_COUNT, Journal
 from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import Rig, answers, instance, on_loop
 
@@ -92,7 +92,7 @@
     if told:
         journal.told("m")
     now[0] = 5_000_000 + after_s * 1_000_000
-    for n in range(TIDY_EACH):
+    for n in range(EXPIRY_CHECK_END_COUNT):
         journal.end(Message(str(n), "c", "t", 3, 0, b"", "platform"), End(Ending.DELIVERED))
     assert ("m" in journal.ends) is kept
     journal.close()
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -15,7 +15,7 @@
 from rowanrack.fronts.platform.clients import read_submit
 from rowanrack.fronts.platform.resp import RespError
 from rowanrack.net.http import Reply
-from rowanrack.store.journal import TAKEN, Journal, frame, pack_text, step_record
+from rowanrack.store.journal import TAKEN, Journal, encode_byte_strings, encode_record, encode_status
 from rowanspindle import Result
 from rowanspindle.wire import parse_settings
 from tests.rig import MAPPING, SETTINGS, Rig, answers, on_loop
@@ -113,11 +113,11 @@
 
 def test_records_of_earlier_versions_are_read(tmp_path: Path) -> None:
     texts = (b"old", b"c", b"t", b"platform", b"f", b"body")
-    taken = TAKEN + pack_text(*texts) + (5).to_bytes(8, "little") + (3).to_bytes(8, "little")
+    taken = TAKEN + encode_byte_strings(*texts) + (5).to_bytes(8, "little") + (3).to_bytes(8, "little")
     journal = Journal(tmp_path, 3_000_000, lambda: 0)
     journal.open()
-    journal._append(frame(taken))
-    journal._append(frame(step_record(b"B", "old", 0)))
+    journal._append(encode_record(taken))
+    journal._append(encode_record(encode_status(b"B", "old", 0)))
     journal.close()
     again = Journal(tmp_path, 3_000_000, lambda: 0)
     again.open()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -179,8 +179,8 @@
     book = Book(tmp_path)
     for name in ("a", "b", "c"):
         assert book.journal.take(book.message(name))
-    for leg in (0, 1):
-        book.journal.begin(book.message("a"), leg)
+    for attempt_number in (0, 1):
+        book.journal.begin(book.message("a"), attempt_number)
     book.journal.never_ran(book.message("a"), 0)
     book.journal.end(book.message("b"), End(Ending.REFUSED, 700_000))
     book.journal.end(book.message("c"), End(Ending.FAILED))
@@ -235,7 +235,7 @@
 
 def test_a_compaction_at_any_record_loses_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A compaction behind a record dropped the message just taken, or the attempt just begun."""
-    monkeypatch.setattr("rowanrack.store.journal.COMPACT_LEAST", -(1 << 40))
+    monkeypatch.setattr("rowanrack.store.journal.MIN_COMPACTION_BYTES", -(1 << 40))
     book = Book(tmp_path)
     message = book.message("a")
     assert book.journal.take(message)
