--- a/rowanrack/model/recorded.py
+++ b/rowanrack/model/recorded.py
@@ -80,24 +80,28 @@
     open_calls: dict[tuple[str, int, int], tuple[Began, int]] = {}
     for recording in recordings:
         found.remarks += [f"{recording.path.name}: {remark}" for remark in recording.remarks]
-        life, sender = recording.begins.life, senders.index(recording.begins.sender)
+        life, sender = recording.begins.incarnation, senders.index(recording.begins.sender)
         for record in recording.records:
             at = max(0, recording.unix_of(record.at) - start)
             found.end_us = max(found.end_us, at)
             match record:
                 case Taken():
-                    arrival = Arrival(at, sender, record.cls, record.member, record.dest, record.left_us)
+                    arrival = Arrival(at, sender, record.cls, record.tenant, record.dest, record.time_left_us)
                     known[life, record.ref] = arrival
                     found.arrivals.append(arrival)
                 case Turned() if record.cls:
                     r = record
-                    found.arrivals.append(Arrival(at, sender, r.cls, r.member, r.dest, r.left_us, "nack", at))
+                    found.arrivals.append(
+                        Arrival(at, sender, r.cls, r.tenant, r.dest, r.time_left_us, "nack", at)
+                    )
                 case Ended() if (one := known.get((life, record.ref))) is not None:
                     one.ending, one.ended_us = record.ending, at
                 case Began():
-                    open_calls[life, record.ref, record.leg] = record, at
+                    open_calls[life, record.ref, record.attempt_number] = record, at
                 case Settled():
-                    _settled(found, record, at, open_calls.pop((life, record.ref, record.leg), None))
+                    _settled(
+                        found, record, at, open_calls.pop((life, record.ref, record.attempt_number), None)
+                    )
                 case Listed():
                     if record.status == "removed" or record.status == "draining":
                         found.removed.append((at, record.name, record.status))
--- a/rowanrack/record/__init__.py
+++ b/rowanrack/record/__init__.py
@@ -1,5 +1,6 @@
-"""Recordings: what a sender was asked and what came of it, with times, for the model to be fitted to.
+"""Recordings of the messages, calls and results of a sender, with times, to which the model is fitted.
 
-Owns the format (`format`), its writing beside a serving sender (`recorder`) and its reading. A recording
-holds no bodies and no ids. Nothing here is imported by a sender whose operator's file has no `[record]`.
+This package defines the file format (`format`), writes recordings while a sender serves (`recorder`) and
+reads them. A recording contains no message bodies and no message ids. A sender imports this package only if
+the operator's configuration has a `[record]` section.
 """
--- a/rowanrack/record/format.py
+++ b/rowanrack/record/format.py
@@ -1,8 +1,9 @@
 """The format of recordings, version 1. `docs/recordings.md` describes it.
 
-A file is a head (`MAGIC`, the version) and blocks. A block is its length, the time of its writing on both
-clocks, a checksum over the one before it, these fields and its content, and the content: records as
-MessagePack, deflated. Times in records are microseconds on the sender's monotonic clock.
+A file consists of a header (`MAGIC` and the version) and blocks. A block has a header (the length of its
+content, and its write time on both clocks), a checksum and the content, which is a list of records in
+MessagePack, compressed with zlib. The checksum covers the previous checksum, the block header and the
+content. Times in records are microseconds of the sender's monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,27 +21,28 @@
 MAGIC = b"rowanrack recording\n"
 VERSION = 1
 SUFFIX = ".rec"
-HEAD = struct.Struct(">20sH")
-BLOCK = struct.Struct(">Iqq")  # length of the content, Unix time and monotonic time of its writing
-SUM = 16  # bytes of a checksum
-FRAME = BLOCK.size + SUM  # bytes of a block before its content
-BLOCK_MOST = 8 << 20  # guards the reader against a length that was made up
-CLOCK_SLACK_US = 200_000  # by which the two clocks may part before that counts as a step
+FILE_HEADER = struct.Struct(">20sH")
+BLOCK_HEADER = struct.Struct(">Iqq")  # length of the content, Unix time and monotonic time of the write
+CHECKSUM_BYTES = 16
+BLOCK_OVERHEAD_BYTES = BLOCK_HEADER.size + CHECKSUM_BYTES  # size of a block without its content
+MAX_BLOCK_BYTES = 8 << 20  # keeps the reader from allocating memory for a corrupt length
+CLOCK_SLACK_US = 200_000  # a larger difference between the two clocks is reported as a clock step
 
 
 class RecordingError(Exception):
-    """A recording cannot be used; the text is one line with its file."""
+    """A recording cannot be used; the text is one line that names the file."""
 
 
 class Begins(Struct, frozen=True, array_like=True, tag="S"):
-    """The sender, and what its settings say; the first record of a file."""
+    """The sender and its settings; the first record of a file."""
 
     sender: str
-    life: str  # of the process: its messages' numbers mean nothing to another
+    incarnation: str  # of the process: message numbers are unique only within it
     unix_us: int
     at: int
-    classes: list[tuple[str, int, int, float, float, bool]]  # aim, deadline, worth, late worth, repeatable
-    members: dict[str, float]
+    # Name, aim in microseconds, deadline in microseconds, worth, late worth, repeatable.
+    classes: list[tuple[str, int, int, float, float, bool]]
+    tenants: dict[str, float]
     slots: int
     held: int
     tries: int
@@ -52,7 +54,7 @@
 
 
 class Listed(Struct, frozen=True, array_like=True, tag="L"):
-    """An instance as the name table has it from now on."""
+    """An endpoint as the endpoint list has it from now on."""
 
     at: int
     name: str
@@ -64,50 +66,50 @@
 
 
 class Taken(Struct, frozen=True, array_like=True, tag="T"):
-    """A message was taken, or found in the journal; `ref` is its number in this process."""
+    """A message was accepted, or found in the journal; `ref` is its number in this process."""
 
     at: int
     ref: int
     cls: str
-    member: str
+    tenant: str
     dest: int
-    left_us: int
+    time_left_us: int
     size: int
 
 
 class Turned(Struct, frozen=True, array_like=True, tag="N"):
-    """A message was turned away at the door; without a class if it was not read that far."""
+    """A message was refused on arrival; the class is empty if it was refused before it was read."""
 
     at: int
     cls: str
-    member: str
+    tenant: str
     dest: int
-    left_us: int
+    time_left_us: int
     retry_us: int
 
 
 class Began(Struct, frozen=True, array_like=True, tag="B"):
-    """The first byte of a call goes out, so long after it was decided on."""
+    """The first byte of a call is sent, `waited_us` after the call was scheduled."""
 
     at: int
     ref: int
-    leg: int
+    attempt_number: int
     name: str
     waited_us: int
 
 
 class Settled(Struct, frozen=True, array_like=True, tag="R"):
-    """A call has ended, whether it had begun or not."""
+    """A call has ended, whether or not its first byte was sent."""
 
     at: int
     ref: int
-    leg: int
+    attempt_number: int
     name: str
     dest: int
     result: str
     wait_us: int
     begun: bool
-    took_us: int  # since it was decided on
+    took_us: int  # since the call was scheduled
 
 
 class Ended(Struct, frozen=True, array_like=True, tag="E"):
@@ -120,50 +122,50 @@
 
 
 class Gap(Struct, frozen=True, array_like=True, tag="G"):
-    """So many records before this one were dropped, as the disk did not keep up."""
+    """`lost` records before this one were dropped, because the disk was too slow or the space was used up."""
 
     at: int
     lost: int
 
 
 Record = Begins | Listed | Taken | Turned | Began | Settled | Ended | Gap
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(list[Record])
+_ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(list[Record])
 
 
-def packed(records: list[Record]) -> bytes:
-    """The content of a block."""
-    return zlib.compress(ENCODER.encode(records), 1)
+def encode_records(records: list[Record]) -> bytes:
+    """Encode records as the content of a block."""
+    return zlib.compress(_ENCODER.encode(records), 1)
 
 
 class FileWriter:
-    """Writes one file, block by block. Raises OSError."""
+    """Writes one file, block by block. The methods raise OSError."""
 
     def __init__(self, path: Path) -> None:
         self.path, self._file = path, path.open("xb")
-        head = HEAD.pack(MAGIC, VERSION)
-        self._sum, self.size = blake3(head).digest(SUM), len(head)
-        self._file.write(head)
+        header = FILE_HEADER.pack(MAGIC, VERSION)
+        self._checksum, self.size = blake3(header).digest(CHECKSUM_BYTES), len(header)
+        self._file.write(header)
 
     def write(self, unix_us: int, at_us: int, records: list[Record]) -> None:
-        """One more block; the kernel has it on return."""
-        self.append(unix_us, at_us, packed(records))
+        """Append a block of records; it is handed to the kernel on return."""
+        self.append(unix_us, at_us, encode_records(records))
 
     def append(self, unix_us: int, at_us: int, content: bytes) -> None:
-        """The same, of records that are packed."""
-        head = BLOCK.pack(len(content), unix_us, at_us)
-        self._sum = blake3(self._sum + head + content).digest(SUM)
-        self._file.write(head + self._sum + content)
+        """Append a block of records that are already encoded."""
+        header = BLOCK_HEADER.pack(len(content), unix_us, at_us)
+        self._checksum = blake3(self._checksum + header + content).digest(CHECKSUM_BYTES)
+        self._file.write(header + self._checksum + content)
         self._file.flush()
-        self.size += FRAME + len(content)
+        self.size += BLOCK_OVERHEAD_BYTES + len(content)
 
     def close(self) -> None:
-        """No more."""
+        """Close the file."""
         self._file.close()
 
 
 @dataclass
 class Recording:
-    """What one file holds."""
+    """The content of one file."""
 
     path: Path
     begins: Begins
@@ -171,12 +173,15 @@
     remarks: list[str] = field(default_factory=list)
 
     def unix_of(self, at_us: int) -> int:
-        """Unix time of a moment, as the sender's clock stood at the beginning of the file."""
+        """Convert a monotonic time to Unix time by the sender's clock at the beginning of the file."""
         return self.begins.unix_us + at_us - self.begins.at
 
 
 def read(path: Path) -> Recording:
-    """A recording. A part that was cut off at the end is left out, and remarked. Raises RecordingError."""
+    """Read a recording; a truncated block at the end is left out and noted in `remarks`.
+
+    Raises RecordingError.
+    """
     try:
         with path.open("rb") as file:
             return _read(path, file)
@@ -185,40 +190,55 @@
 
 
 def _read(path: Path, file: BinaryIO) -> Recording:
-    head = file.read(HEAD.size)
-    if len(head) < HEAD.size or not head.startswith(MAGIC):
-        raise RecordingError(f"{path}: no recording of rowanrack")
-    _, version = HEAD.unpack(head)
+    header = file.read(FILE_HEADER.size)
+    if len(header) < FILE_HEADER.size or not header.startswith(MAGIC):
+        raise RecordingError(f"{path}: not a rowanrack recording")
+    _, version = FILE_HEADER.unpack(header)
     if version != VERSION:
-        raise RecordingError(f"{path}: a recording of version {version}; this program reads {VERSION}")
-    last, records, remarks, number = blake3(head).digest(SUM), list[Record](), list[str](), 0
-    clocks: tuple[int, int] | None = None
-    while raw := file.read(FRAME):
-        number += 1
-        at = file.tell() - len(raw)
-        whole = len(raw) == FRAME
-        length, unix_us, at_us = BLOCK.unpack(raw[: BLOCK.size]) if whole else (0, 0, 0)
-        if length > BLOCK_MOST:
-            raise RecordingError(f"{path}: block {number} at byte {at} does not match its checksum")
+        raise RecordingError(
+            f"{path}: recording format {version} is not supported; this version reads format {VERSION}"
+        )
+    checksum, records, remarks, block_number = (
+        blake3(header).digest(CHECKSUM_BYTES),
+        list[Record](),
+        list[str](),
+        0,
+    )
+    previous_clocks: tuple[int, int] | None = None
+    while raw_header := file.read(BLOCK_OVERHEAD_BYTES):
+        block_number += 1
+        offset = file.tell() - len(raw_header)
+        complete_header = len(raw_header) == BLOCK_OVERHEAD_BYTES
+        length, unix_us, at_us = (
+            BLOCK_HEADER.unpack(raw_header[: BLOCK_HEADER.size]) if complete_header else (0, 0, 0)
+        )
+        if length > MAX_BLOCK_BYTES:
+            raise RecordingError(f"{path}: block {block_number} at byte {offset} does not match its checksum")
         content = file.read(length)
-        if not whole or len(content) < length:
-            remarks.append(f"cut off in block {number} at byte {at}: what follows is lost")
+        if not complete_header or len(content) < length:
+            remarks.append(
+                f"truncated in block {block_number} at byte {offset}: the rest of the file is missing"
+            )
             break
-        last = blake3(last + raw[: BLOCK.size] + content).digest(SUM)
-        if last != raw[BLOCK.size :]:
-            raise RecordingError(f"{path}: block {number} at byte {at} does not match its checksum")
-        if clocks is not None:
-            step = (unix_us - clocks[0]) - (at_us - clocks[1])
+        checksum = blake3(checksum + raw_header[: BLOCK_HEADER.size] + content).digest(CHECKSUM_BYTES)
+        if checksum != raw_header[BLOCK_HEADER.size :]:
+            raise RecordingError(f"{path}: block {block_number} at byte {offset} does not match its checksum")
+        if previous_clocks is not None:
+            step = (unix_us - previous_clocks[0]) - (at_us - previous_clocks[1])
             if abs(step) > CLOCK_SLACK_US:
-                way = "back" if step < 0 else "forward"
-                remarks.append(f"the clock was set {way} by {abs(step) / 1e6:.1f} s before block {number}")
-        clocks = unix_us, at_us
+                direction = "back" if step < 0 else "forward"
+                remarks.append(
+                    f"the clock was set {direction} by {abs(step) / 1e6:.1f} s before block {block_number}"
+                )
+        previous_clocks = unix_us, at_us
         try:
-            records += DECODER.decode(zlib.decompress(content))
+            records += _DECODER.decode(zlib.decompress(content))
         except (msgspec.DecodeError, zlib.error) as error:
-            raise RecordingError(f"{path}: block {number} at byte {at}: {error}") from None
+            raise RecordingError(f"{path}: block {block_number} at byte {offset}: {error}") from None
     if not records or not isinstance(begins := records[0], Begins):
-        raise RecordingError(f"{path}: it does not say how the sender was set up")
-    if lost := sum(r.lost for r in records if isinstance(r, Gap)):
-        remarks.append(f"{lost} records were dropped, as the disk did not keep up")
+        raise RecordingError(f"{path}: the first record does not describe the sender")
+    if lost_count := sum(r.lost for r in records if isinstance(r, Gap)):
+        remarks.append(
+            f"{lost_count} records were dropped, because the disk was too slow or the space was used up"
+        )
     return Recording(path, begins, records, remarks)
