--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -1,4 +1,4 @@
-"""What every store of messages promises, and the benches on which one is held to it."""
+"""The contract of message stores: checks with crashes and disk errors, and harnesses that run a store."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from rowanrack.store.journal import Journal
 from rowanrack.store.memory import MemoryStore, MessageState
 
-NOW = 1_000_000
+NOW_US = 1_000_000
 REFUSED, FAILED, DELIVERED = End(Ending.REFUSED, 700_000), End(Ending.FAILED), End(Ending.DELIVERED)
-Op = tuple[Any, ...]
-State = tuple[dict[str, Any], dict[str, End], list[tuple[str, End]]]
+Operation = tuple[Any, ...]
+Snapshot = tuple[dict[str, Any], dict[str, End], list[tuple[str, End]]]
 
-# Every kind of record, an id that comes again, a key, and compactions between.
-SCRIPT: list[Op] = [
+# Covers every kind of record, reused ids, a message with a key, and compactions in between.
+OPERATIONS: list[Operation] = [
     ("take", "a"),
     ("begin", "a", 0),
     ("never_ran", "a", 0),
@@ -45,98 +45,103 @@
 ]
 
 
-class KeptStore(Store, Protocol):
-    """A store as the assembly uses it."""
+class InspectableStore(Store, Protocol):
+    """The methods of a store that the sender uses beyond `Store`."""
 
     @property
     def owed(self) -> dict[str, Message]:
-        """The messages that are owed."""
+        """The messages that are owed, by id."""
 
     def told(self, message_id: str) -> None:
-        """Record that the notice of an end is confirmed."""
+        """Record that the notice of an end was confirmed."""
 
     def untold(self, front: str) -> list[tuple[str, End]]:
-        """Refusals and failures whose notice is not confirmed."""
+        """Return a front's refused and failed messages whose notice is not yet confirmed."""
 
 
-class Disk:
-    """`os` under the journal, on a disk that is full or refuses writes, or fails the n-th one."""
+class FaultyDisk:
+    """Replaces `os` in the journal by a disk that is full, refuses all writes, or fails the n-th write.
 
-    def __init__(self, reserves: bool = True) -> None:
-        self.reserves, self.mode, self.writes = reserves, "room", 0
-        self.fails_at, self.short = 0, False
-        self.before: Callable[[], None] = lambda: None
+    `mode` is "room", "full" (only reserved space can be written) or "refuses".
+    """
+
+    def __init__(self, supports_fallocate: bool = True) -> None:
+        self.supports_fallocate, self.mode, self.write_count = supports_fallocate, "room", 0
+        self.failing_write_number, self.short_write = 0, False
+        self.before_write: Callable[[], None] = lambda: None
 
     def __getattr__(self, name: str) -> Any:
         return getattr(os, name)
 
-    def _step(self) -> bool:
-        self.before()
-        self.writes += 1
-        return self.writes == self.fails_at
+    def _is_failing_write(self) -> bool:
+        self.before_write()
+        self.write_count += 1
+        return self.write_count == self.failing_write_number
 
-    def pwrite(self, fd: int, data: bytes, at: int) -> int:
-        """Write what the disk takes of it."""
-        most = len(data)
-        if self._step() or self.mode == "refuses":
-            most = most // 2 if self.short else 0
+    def pwrite(self, fd: int, data: bytes, offset: int) -> int:
+        """Write as many bytes as the disk accepts."""
+        accepted_bytes = len(data)
+        if self._is_failing_write() or self.mode == "refuses":
+            accepted_bytes = accepted_bytes // 2 if self.short_write else 0
         elif self.mode == "full":
-            most = min(most, os.fstat(fd).st_size - at)
-        if most <= 0:
+            accepted_bytes = min(accepted_bytes, os.fstat(fd).st_size - offset)
+        if accepted_bytes <= 0:
             raise OSError(errno.ENOSPC, "No space left on device")
-        return os.pwrite(fd, data[:most], at)
+        return os.pwrite(fd, data[:accepted_bytes], offset)
 
     def posix_fallocate(self, fd: int, start: int, size: int) -> None:
-        """Give room, if there is."""
-        if self._step() or self.mode != "room":
+        """Reserve space if the disk has any."""
+        if self._is_failing_write() or self.mode != "room":
             raise OSError(errno.ENOSPC, "No space left on device")
-        if not self.reserves:
+        if not self.supports_fallocate:
             raise OSError(errno.EOPNOTSUPP, "Operation not supported")
         os.posix_fallocate(fd, start, size)
 
     def rename(self, old: Path, new: Path) -> None:
-        """The last step of a compaction."""
-        if self._step():
+        """Rename a file, which is the last step of a compaction."""
+        if self._is_failing_write():
             raise OSError(errno.EIO, "Input/output error")
         os.rename(old, new)
 
 
-class JournalBench:
-    """Processes that follow each other on a folder."""
+class JournalHarness:
+    """Runs the journal in successive processes that share a folder."""
 
-    def __init__(self, kind: type[Journal] = Journal, full: str = "full", reserves: bool = True) -> None:
-        self.kind, self.full_mode, self.disk = kind, full, Disk(reserves)
+    def __init__(
+        self, store_class: type[Journal] = Journal, full: str = "full", supports_fallocate: bool = True
+    ) -> None:
+        self.store_class, self.full_mode, self.disk = store_class, full, FaultyDisk(supports_fallocate)
         self.folder = Path(tempfile.mkdtemp())
         self.store: Journal
 
     def open(self) -> Journal:
-        """A new process."""
-        self.store = self.kind(self.folder, 3_000_000, lambda: NOW)
+        """Start a new process."""
+        self.store = self.store_class(self.folder, 3_000_000, lambda: NOW_US)
         self.store.open()
         return self.store
 
     def full(self, on: bool) -> None:
-        """Fill the disk, or make room."""
+        """Make the disk full, or not full."""
         self.disk.mode = self.full_mode if on else "room"
 
     def compact(self) -> None:
-        """Tidy the file up."""
+        """Compact the file, and allow the next compaction at once."""
         self.store._compact()
         self.store._compaction_retry_us = 0
 
     def kill(self) -> None:
-        """End the process; the kernel keeps what it wrote."""
+        """Kill the process; data that it passed to the kernel is kept."""
         assert self.store.file is not None
         for fd in (self.store.file.fd, self.store.lock_fd):
             os.close(fd)
 
     def close(self) -> None:
-        """End it in order."""
+        """Stop the process in an orderly way."""
         self.store.close()
 
     @contextmanager
-    def set_up(self) -> Iterator[JournalBench]:
-        """With its disk in the place of the system's."""
+    def running(self) -> Iterator[JournalHarness]:
+        """Replace `os` in the journal by the faulty disk, and clean up at the end."""
         with mock.patch("rowanrack.store.journal.os", self.disk), mock.patch(
             "rowanrack.store.journal_file.os", self.disk
         ):  # fmt: skip
@@ -146,36 +151,36 @@
         shutil.rmtree(self.folder)
 
 
-class MemoryBench:
-    """The same for the store in memory."""
+class MemoryHarness:
+    """Runs the store in memory in successive processes."""
 
-    def __init__(self, kind: type[MemoryStore] = MemoryStore) -> None:
-        self.kind, self.shelf = kind, MessageState()
+    def __init__(self, store_class: type[MemoryStore] = MemoryStore) -> None:
+        self.store_class, self.durable = store_class, MessageState()
 
     def open(self) -> MemoryStore:
-        """A new process."""
-        return self.kind(self.shelf, lambda: NOW)
+        """Start a new process."""
+        return self.store_class(self.durable, lambda: NOW_US)
 
     def full(self, on: bool) -> None:
-        """Fill the shelf, or make room."""
-        self.shelf.full = on
+        """Make the durable state full, or not full."""
+        self.durable.full = on
 
     def compact(self) -> None:
-        """It is always tidy."""
+        """Do nothing: this store needs no compaction, and no clean-up at its end."""
 
     kill = close = compact
 
     @contextmanager
-    def set_up(self) -> Iterator[MemoryBench]:
-        """There is nothing to clean up."""
+    def running(self) -> Iterator[MemoryHarness]:
+        """Run the harness, which needs no clean-up."""
         yield self
 
 
-Bench = JournalBench | MemoryBench
+StoreHarness = JournalHarness | MemoryHarness
 
 
-def state(store: KeptStore) -> State:
-    """All that a new process knows from its store."""
+def snapshot(store: InspectableStore) -> Snapshot:
+    """Return everything that a new process learns from its store."""
     owed = {
         i: (m.cls, m.tenant, m.dest, m.deadline_us, m.body, m.front, m.form, m.key, dict(m.unsettled))
         for i, m in store.owed.items()
@@ -184,39 +189,40 @@
     return owed, ends, sorted(store.untold("platform"), key=lambda pair: pair[0])
 
 
-class Ledger:
-    """Plain books beside a store, which does with it what the exchange does."""
+class ReferenceModel:
+    """Applies operations to a store, as the exchange does, and tracks the expected state."""
 
-    def __init__(self, bench: Bench) -> None:
-        self.bench, self.store = bench, bench.open()
+    def __init__(self, harness: StoreHarness) -> None:
+        self.harness, self.store = harness, harness.open()
         self.messages: dict[str, Message] = {}
-        self.begun: dict[str, int] = {}
+        self.begun_counts: dict[str, int] = {}
         self.ends: dict[str, End] = {}
         self.untold: set[str] = set()
-        self.sure: list[State] = [self.now()]  # what the next process may find: one, unless some is unwritten
+        # The states that the next process may find: more than one only while records are unwritten.
+        self.allowed_snapshots: list[Snapshot] = [self.expected_snapshot()]
 
-    def now(self) -> State:
-        """The state as it should be."""
+    def expected_snapshot(self) -> Snapshot:
+        """Return the expected state."""
         owed = {
             i: ("c", "t", 3, 5_000_000, b"body of " + i.encode(), "platform", "f", m.key, dict(m.unsettled))
             for i, m in self.messages.items()
         }
         return owed, dict(self.ends), [(i, self.ends[i]) for i in sorted(self.untold)]
 
-    def do(self, op: Op) -> None:
-        """One step, if it makes sense now; the store says what of it counts."""
-        getattr(self, op[0])(*op[1:])
+    def apply(self, operation: Operation) -> None:
+        """Apply an operation, if it is valid now, and compare the results of the store."""
+        getattr(self, operation[0])(*operation[1:])
         assert self.store.ended("a") == self.ends.get("a") and self.store.owed.keys() == self.messages.keys()
         if not self.store.behind():
-            self.sure = []
-        self.sure.append(self.now())
+            self.allowed_snapshots = []
+        self.allowed_snapshots.append(self.expected_snapshot())
 
     def take(self, name: str) -> None:
         body, key = b"body of " + name.encode(), "k" * (name == "keyed")
         message = Message(name, "c", "t", 3, 5_000_000, body, "platform", "f", key)
         if name not in self.messages and self.store.take(message):
-            assert not self.store.behind(), "taken before what had happened"
-            self.messages[name], self.begun[name] = message, 0
+            assert not self.store.behind(), "a message was accepted before earlier records were written"
+            self.messages[name], self.begun_counts[name] = message, 0
             self.ends.pop(name, None)
             self.untold.discard(name)
 
@@ -225,9 +231,9 @@
             return
         attempt_number, message.attempts_made = message.attempts_made, message.attempts_made + 1
         if self.store.begin(message, attempt_number):
-            assert not self.store.behind(), "begun before what had happened"
-            message.unsettled[attempt_number] = NOW if message.key else 0
-            self.begun[name] = attempt_number + 1
+            assert not self.store.behind(), "an attempt began before earlier records were written"
+            message.unsettled[attempt_number] = NOW_US if message.key else 0
+            self.begun_counts[name] = attempt_number + 1
 
     def never_ran(self, name: str, attempt_number: int | None = None) -> None:
         if (message := self.messages.get(name)) is not None and message.unsettled:
@@ -247,112 +253,130 @@
             self.store.told(name)
 
     def compact(self) -> None:
-        self.bench.compact()
+        self.harness.compact()
 
     def full(self, on: bool) -> None:
-        self.bench.full(on)
+        self.harness.full(on)
 
     def restart(self, how: str) -> None:
-        """The next process finds one of the states that it may, and goes on from it."""
-        getattr(self.bench, how)()
-        self.bench.full(False)
-        self.store = self.bench.open()
+        """Start the next process, check that it finds an allowed state, and continue from that state."""
+        getattr(self.harness, how)()
+        self.harness.full(False)
+        self.store = self.harness.open()
         self.check(self.store)
-        owed, self.ends, untold = state(self.store)
+        owed, self.ends, untold = snapshot(self.store)
         self.untold = {i for i, _ in untold}
         self.messages = {i: self.store.owed[i] for i in owed}
-        self.sure = []
+        self.allowed_snapshots = []
 
-    def check(self, store: KeptStore) -> None:
-        """Nothing lost, nothing owed again, and no attempt forgotten."""
-        assert state(store) in self.sure
+    def check(self, store: InspectableStore) -> None:
+        """Check that the store has an allowed state and lost no attempt."""
+        assert snapshot(store) in self.allowed_snapshots
         for name, message in store.owed.items():
-            assert message.attempts_made >= self.begun[name], "an attempt is forgotten"
-
-
-def check_full_from_and_to(bench: Callable[[], Bench]) -> None:
-    """The disk is full from any step to any later one, and the process is killed right then or at the end."""
-    for first in range(len(SCRIPT)):
-        for last in range(first, len(SCRIPT), 3):
-            with bench().set_up() as set_up:
-                ledger = Ledger(set_up)
-                for n, op in enumerate(SCRIPT[: last + 4]):
-                    if n in (first, last):
-                        set_up.full(n == first and first < last)
-                        assert n == first or ledger.store.recording(), "it does not recover"
-                    ledger.do(op)
-                ledger.restart("kill")
-
-
-def check_one_write_fails(bench: Callable[[], Bench]) -> None:
-    """Each write in turn fails, wholly or in part, and then the process is killed or ends."""
-    for fails_at in range(2, 60):
-        for short, how in ((False, "kill"), (True, "kill"), (True, "close")):
-            set_up = bench()
-            if not isinstance(set_up, JournalBench):
+            assert message.attempts_made >= self.begun_counts[name], "an attempt was lost"
+
+
+def check_disk_full_during_any_steps(make_harness: Callable[[], StoreHarness]) -> None:
+    """Check with the disk full from any step up to any later one, after which the process is killed."""
+    for full_from in range(len(OPERATIONS)):
+        for room_from in range(full_from, len(OPERATIONS), 3):
+            with make_harness().running() as harness:
+                model = ReferenceModel(harness)
+                for n, operation in enumerate(OPERATIONS[: room_from + 4]):
+                    if n in (full_from, room_from):
+                        harness.full(n == full_from and full_from < room_from)
+                        assert n == full_from or model.store.recording(), (
+                            "the store does not recover after the disk has room again"
+                        )
+                    model.apply(operation)
+                model.restart("kill")
+
+
+def check_one_write_fails(make_harness: Callable[[], StoreHarness]) -> None:
+    """Check with each write in turn failing, entirely or in part, before the process is killed or stops."""
+    for failing_write_number in range(2, 60):
+        for short_write, how in ((False, "kill"), (True, "kill"), (True, "close")):
+            harness = make_harness()
+            if not isinstance(harness, JournalHarness):
                 return
-            with set_up.set_up():
-                ledger = Ledger(set_up)
-                set_up.disk.fails_at, set_up.disk.short = set_up.disk.writes + fails_at - 1, short
-                for op in SCRIPT:
-                    ledger.do(op)
-                    assert ledger.store.recording() and len(ledger.sure) == 1, "one failure lasts"
-                    file, data = set_up.store.file, set_up.store.path.read_bytes()
+            with harness.running():
+                model = ReferenceModel(harness)
+                harness.disk.failing_write_number, harness.disk.short_write = (
+                    harness.disk.write_count + failing_write_number - 1,
+                    short_write,
+                )
+                for operation in OPERATIONS:
+                    model.apply(operation)
+                    assert model.store.recording() and len(model.allowed_snapshots) == 1, (
+                        "the store does not recover from a single failed write"
+                    )
+                    file, data = harness.store.file, harness.store.path.read_bytes()
                     assert file and (file.torn_end > file.size or not data[file.size :].strip(b"\0"))
-                ledger.restart(how)
+                model.restart(how)
+
 
+def check_killed_at_each_write(make_harness: Callable[[], StoreHarness]) -> None:
+    """Check recovery from a copy of the folder taken right before each write.
 
-def check_killed_at_each_write(bench: Callable[[], Bench]) -> None:
-    """A copy of the folder right before each write holds what was said until then, with that step or not."""
-    set_up = bench()
-    if not isinstance(set_up, JournalBench):
+    It finds the state before or after the operation that writes.
+    """
+    harness = make_harness()
+    if not isinstance(harness, JournalHarness):
         return
-    with set_up.set_up():
-        ledger, copies = Ledger(set_up), list[Path]()
+    with harness.running():
+        model, copies = ReferenceModel(harness), list[Path]()
 
         def copy() -> None:
-            copies.append(Path(shutil.copytree(set_up.folder, tempfile.mkdtemp(), dirs_exist_ok=True)))
+            copies.append(Path(shutil.copytree(harness.folder, tempfile.mkdtemp(), dirs_exist_ok=True)))
 
-        for op in SCRIPT:
-            before = ledger.now()
-            set_up.disk.before = copy
-            ledger.do(op)
-            set_up.disk.before = lambda: None
+        for operation in OPERATIONS:
+            snapshot_before = model.expected_snapshot()
+            harness.disk.before_write = copy
+            model.apply(operation)
+            harness.disk.before_write = lambda: None
             for folder in copies:
-                check_copy(set_up.kind, folder, [before, ledger.now()])
+                check_recovery(harness.store_class, folder, [snapshot_before, model.expected_snapshot()])
                 shutil.rmtree(folder)
             copies.clear()
 
 
-def check_torn_at_each_byte(bench: Callable[[], Bench]) -> None:
-    """A record cut anywhere, with room behind it or none, counts wholly or not at all."""
-    set_up = bench()
-    if not isinstance(set_up, JournalBench):
+def check_torn_at_each_byte(make_harness: Callable[[], StoreHarness]) -> None:
+    """Check that a record truncated at any byte, with or without reserved space after it, is discarded."""
+    harness = make_harness()
+    if not isinstance(harness, JournalHarness):
         return
-    with set_up.set_up():
-        ledger, folder = Ledger(set_up), Path(tempfile.mkdtemp())
-        for op in SCRIPT:
-            before, start = ledger.now(), ledger.store.size  # type: ignore[union-attr]
-            ledger.do(op)
-            data = set_up.store.path.read_bytes()[: set_up.store.size]
-            for cut in range(start, len(data)) if op != ("compact",) else ():
-                for behind in (bytes(64), b"")[: 1 + (cut % 4 == 0)]:
-                    (folder / "messages.log").write_bytes(data[:cut] + behind)
-                    whole = behind and not data[cut:].strip(b"\0")  # zeros are as good as its last bytes
-                    check_copy(set_up.kind, folder, [ledger.now() if whole else before], cut % 4 == 0)
-        shutil.rmtree(folder)
-
-
-def check_copy(kind: type[Journal], folder: Path, states: list[State], goes_on: bool = True) -> None:
-    """A process that starts on this folder finds one of these, and can go on from it."""
-    more_is_there = False
-    for takes in (True, False)[not goes_on :]:
-        journal = kind(folder, 3_000_000, lambda: NOW)
+    with harness.running():
+        model, copied_folder = ReferenceModel(harness), Path(tempfile.mkdtemp())
+        for operation in OPERATIONS:
+            snapshot_before, start = model.expected_snapshot(), model.store.size  # type: ignore[union-attr]
+            model.apply(operation)
+            data = harness.store.path.read_bytes()[: harness.store.size]
+            for cut_at in range(start, len(data)) if operation != ("compact",) else ():
+                for following in (bytes(64), b"")[: 1 + (cut_at % 4 == 0)]:
+                    (copied_folder / "messages.log").write_bytes(data[:cut_at] + following)
+                    # A record whose missing bytes are zeros is complete if reserved space follows.
+                    record_complete = following and not data[cut_at:].strip(b"\0")
+                    check_recovery(
+                        harness.store_class,
+                        copied_folder,
+                        [model.expected_snapshot() if record_complete else snapshot_before],
+                        cut_at % 4 == 0,
+                    )
+        shutil.rmtree(copied_folder)
+
+
+def check_recovery(
+    store_class: type[Journal], folder: Path, states: list[Snapshot], then_accepts: bool = True
+) -> None:
+    """Check that a process started on this folder finds one of these states, and can accept a message."""
+    extra_recorded = False
+    for accepts in (True, False)[not then_accepts :]:
+        journal = store_class(folder, 3_000_000, lambda: NOW_US)
         journal.open()
-        found = state(journal)
-        more = found[0].pop("more", None)
-        assert found in states and (more is None) is not more_is_there
-        if takes:
-            more_is_there = True
+        found = snapshot(journal)
+        extra = found[0].pop("more", None)
+        assert found in states and (extra is None) is not extra_recorded
+        if accepts:
+            extra_recorded = True
             assert journal.take(Message("more", "c", "t", 3, 5_000_000, b"", "platform"))
         journal.close()
--- a/tests/contracts/test_bans.py
+++ b/tests/contracts/test_bans.py
@@ -1,4 +1,4 @@
-"""What keeps the detached endpoints: two processes share it, and no failure loses what is in force."""
+"""The store of detached endpoints: two processes share it, and a failure never loses the current set."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from rowanrack.store.bans import BanFile
 
 
-class Bans(Protocol):
-    """One process's view."""
+class DetachedEndpoints(Protocol):
+    """The store as one process sees it."""
 
     def changed(self) -> set[str] | None:
-        """What stands there, if that is not known here yet."""
+        """Return the current set if this process does not know it yet, else None."""
 
     def write(self, bans: set[str]) -> None:
-        """Replace it, whole; OSError: it stands as before."""
+        """Replace the set atomically. Raises OSError; the old set then stays."""
 
 
 class SharedBans:
-    """The in-memory twin: what two views share."""
+    """The content that two in-memory stores share."""
 
     def __init__(self) -> None:
         self.version, self.names = 0, frozenset[str]()
 
 
 class InMemoryBans:
-    """A view of it."""
+    """A reference implementation in memory."""
 
     def __init__(self, shared: SharedBans) -> None:
         self.shared, self.seen = shared, -1
@@ -49,14 +49,14 @@
 
 
 class ReadsVersionAfterWrite(BanFile):
-    """Broken on purpose: it takes whatever stands there after a write for what it wrote itself."""
+    """Deliberately faulty: reads the file's version after the rename, when it may be another process's."""
 
     def write(self, bans: set[str]) -> None:
         super().write(bans)
         self._known_version = self._current_version()
 
 
-def open_two_views(kind: str, folder: Path) -> tuple[Bans, Bans]:
+def open_two_views(kind: str, folder: Path) -> tuple[DetachedEndpoints, DetachedEndpoints]:
     if kind == "memory":
         shared = SharedBans()
         return InMemoryBans(shared), InMemoryBans(shared)
@@ -64,12 +64,12 @@
 
 
 @pytest.mark.parametrize("kind", ["file", "memory"])
-def test_each_sees_what_the_other_wrote_once_and_not_its_own(kind: str, tmp_path: Path) -> None:
+def test_each_process_sees_the_other_ones_change_once_and_not_its_own(kind: str, tmp_path: Path) -> None:
     one, other = open_two_views(kind, tmp_path)
     assert one.changed() == other.changed() == set() and one.changed() is None
     one.write({"a", "b"})
     assert one.changed() is None and other.changed() == {"a", "b"} and other.changed() is None
-    for n in range(20):  # however soon after each other, and of one size
+    for n in range(20):  # in quick succession, and with equal file sizes
         (one, other)[n % 2].write({f"n{n:02}"})
         assert (other, one)[n % 2].changed() == {f"n{n:02}"}
     other.write(set())
@@ -79,7 +79,7 @@
 def read_after_concurrent_write(
     kind: type[BanFile], folder: Path, patch: pytest.MonkeyPatch
 ) -> set[str] | None:
-    """What one of two sees when the other's write comes right behind its own."""
+    """Return what a process sees if another process writes right after its own write."""
     one, other, real_replace = kind(folder), BanFile(folder), os.replace
 
     def replace(*args: Any) -> None:
@@ -92,17 +92,21 @@
     return one.changed()
 
 
-def test_a_write_right_behind_ones_own_is_seen(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its time was taken for that of the own write: what the other had detached was never heard of."""
+def test_write_of_another_process_right_after_the_own_one_is_seen(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against taking the version of another process's write for the own one, which hid its change."""
     assert read_after_concurrent_write(BanFile, tmp_path, monkeypatch) == {"theirs"}
 
 
-def test_a_broken_twin_is_found_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reading_the_version_after_the_write_misses_the_other_change(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert read_after_concurrent_write(ReadsVersionAfterWrite, tmp_path, monkeypatch) is None
 
 
 @pytest.mark.parametrize("step", [(Path, "write_text"), (os, "replace")], ids=lambda step: step[1])
-def test_a_full_disk_leaves_the_old_set_and_no_litter(
+def test_full_disk_leaves_the_old_set_and_no_temporary_file(
     step: tuple[Any, str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one = BanFile(tmp_path)
@@ -121,7 +125,7 @@
     assert BanFile(tmp_path).changed() == {"a", "b"}
 
 
-def test_a_kill_between_writing_and_renaming_leaves_the_old_set(
+def test_kill_between_write_and_rename_leaves_the_old_set(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     BanFile(tmp_path).write({"a"})
@@ -140,7 +144,7 @@
 
 
 @pytest.mark.parametrize("raw", DAMAGED_FILES, ids=lambda raw: repr(raw[:12]))
-def test_a_damaged_file_keeps_the_bans_in_force(
+def test_damaged_file_leaves_detached_endpoints_unchanged(
     raw: bytes, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     one, other = BanFile(tmp_path), BanFile(tmp_path)
@@ -159,10 +163,13 @@
 
 
 @pytest.mark.parametrize("step", ["stat", "read_bytes"])
-def test_what_could_not_be_read_for_a_moment_is_read_at_the_next_look(
+def test_failed_read_is_retried_at_the_next_call(
     step: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """With no descriptor left it passed for read: the bans were not heeded until somebody changed them."""
+    """Guards against treating a failed read as done, which hid the set until its next change.
+
+    The read fails if the process has no file descriptors left.
+    """
 
     def fail_no_descriptors(*_: object, **__: object) -> None:
         raise OSError(errno.EMFILE, "Too many open files")
@@ -177,7 +184,7 @@
     assert starts.changed() == {"a"} and starts.changed() is None
 
 
-def test_a_folder_that_is_gone_is_an_error_that_is_raised(tmp_path: Path) -> None:
+def test_write_into_a_missing_folder_raises(tmp_path: Path) -> None:
     open_missing: Callable[[], BanFile] = lambda: BanFile(tmp_path / "gone")  # noqa: E731
     assert open_missing().changed() == set()
     with pytest.raises(OSError, match="No such file"):
--- a/tests/contracts/test_message_stores.py
+++ b/tests/contracts/test_message_stores.py
@@ -1,4 +1,4 @@
-"""Each store of messages is held to the contract, and stores that are broken in one way are caught by it."""
+"""Runs the contract of message stores on each store, and on faulty stores that it has to detect."""
 
 from __future__ import annotations
 
@@ -29,74 +29,74 @@
 from tests.contracts.stores import (
     DELIVERED,
     FAILED,
-    NOW,
+    NOW_US,
+    OPERATIONS,
     REFUSED,
-    SCRIPT,
-    Bench,
-    JournalBench,
-    Ledger,
-    MemoryBench,
-    check_full_from_and_to,
+    JournalHarness,
+    MemoryHarness,
+    ReferenceModel,
+    StoreHarness,
+    check_disk_full_during_any_steps,
     check_killed_at_each_write,
     check_one_write_fails,
     check_torn_at_each_byte,
 )
 
-STORES: dict[str, Callable[[], Bench]] = {
-    "memory": MemoryBench,
-    "journal": JournalBench,
-    "journal, its room fails too": lambda: JournalBench(full="refuses"),
-    "journal, nothing can be reserved": lambda: JournalBench(reserves=False),
+HARNESSES: dict[str, Callable[[], StoreHarness]] = {
+    "memory": MemoryHarness,
+    "journal": JournalHarness,
+    "journal, reserved space fails too": lambda: JournalHarness(full="refuses"),
+    "journal, no fallocate support": lambda: JournalHarness(supports_fallocate=False),
 }
 
 
-def check_any_order(bench: Callable[[], Bench], *phases: Phase) -> None:
-    """Steps in any order, with a disk that fills and empties, and processes that are killed."""
-    names = st.sampled_from(["a", "keyed"])
+def check_any_order(make_harness: Callable[[], StoreHarness], *phases: Phase) -> None:
+    """Check generated sequences of operations, with a disk that becomes full, and restarts."""
+    message_names = st.sampled_from(["a", "keyed"])
 
-    class Machine(RuleBasedStateMachine):
+    class StoreMachine(RuleBasedStateMachine):
         def __init__(self) -> None:
             super().__init__()
-            self.context, self.is_full = bench().set_up(), False
-            self.ledger = Ledger(self.context.__enter__())
+            self.context, self.is_full = make_harness().running(), False
+            self.model = ReferenceModel(self.context.__enter__())
 
-        @rule(name=names, begins=st.booleans())
+        @rule(name=message_names, begins=st.booleans())
         def take(self, name: str, begins: bool) -> None:
-            self.ledger.do(("take", name))
+            self.model.apply(("take", name))
             if begins:
-                self.ledger.do(("begin", name))
+                self.model.apply(("begin", name))
 
-        @rule(name=names, what=st.sampled_from(["begin", "never_ran", "told"]))
-        def step(self, name: str, what: str) -> None:
-            self.ledger.do((what, name))
+        @rule(name=message_names, step_name=st.sampled_from(["begin", "never_ran", "told"]))
+        def step(self, name: str, step_name: str) -> None:
+            self.model.apply((step_name, name))
 
-        @rule(name=names, end=st.sampled_from([REFUSED, FAILED, DELIVERED]))
+        @rule(name=message_names, end=st.sampled_from([REFUSED, FAILED, DELIVERED]))
         def end(self, name: str, end: object) -> None:
-            self.ledger.do(("end", name, end))
+            self.model.apply(("end", name, end))
 
         @precondition(lambda self: not self.is_full)
-        @rule(name=names)
-        def the_disk_fills(self, name: str) -> None:
-            self.ledger.do(("take", name))
+        @rule(name=message_names)
+        def fill_disk(self, name: str) -> None:
+            self.model.apply(("take", name))
             self.is_full = True
-            self.ledger.do(("full", True))
+            self.model.apply(("full", True))
 
         @precondition(lambda self: self.is_full)
         @rule()
-        def the_disk_has_room(self) -> None:
+        def free_disk(self) -> None:
             self.is_full = False
-            self.ledger.do(("full", False))
+            self.model.apply(("full", False))
 
         @rule(how=st.sampled_from(["kill", "close", ""]))
         def restart_or_compact(self, how: str) -> None:
-            self.ledger.do(("restart", how) if how else ("compact",))
+            self.model.apply(("restart", how) if how else ("compact",))
             self.is_full = self.is_full and not how
 
         def teardown(self) -> None:
             self.context.__exit__(None, None, None)
 
     run_state_machine_as_test(
-        Machine,
+        StoreMachine,
         settings=settings(
             derandomize=True,
             deadline=None,
@@ -108,35 +108,35 @@
     )
 
 
-CHECKS = (check_full_from_and_to, check_one_write_fails, check_any_order)
-ON_FILES = (check_killed_at_each_write, check_torn_at_each_byte)  # whatever a full disk does
+CHECKS = (check_disk_full_during_any_steps, check_one_write_fails, check_any_order)
+FILE_CHECKS = (check_killed_at_each_write, check_torn_at_each_byte)  # independent of disk-full behaviour
 
 
 @pytest.mark.parametrize(
     ("store", "check"),
-    [(s, c) for s in STORES for c in CHECKS] + [("journal", c) for c in ON_FILES],
+    [(s, c) for s in HARNESSES for c in CHECKS] + [("journal", c) for c in FILE_CHECKS],
 )
-def test_a_store_keeps_its_contract(store: str, check: Callable[[Callable[[], Bench]], None]) -> None:
-    check(STORES[store])
+def test_store_fulfils_its_contract(store: str, check: Callable[[Callable[[], StoreHarness]], None]) -> None:
+    check(HARNESSES[store])
 
 
-class ForgetsEnds(Journal):
-    """What a full disk refuses is dropped, as it was before."""
+class DropsRefusedRecords(Journal):
+    """Drops records that a full disk refuses, instead of queueing them."""
 
     def _write_or_queue(self, record: bytes) -> None:
         self._append(record)
 
 
-class ForgetsBegun(Journal):
-    """A compaction drops the attempts that have begun."""
+class CompactionDropsAttempts(Journal):
+    """Drops the begun attempts in a compaction."""
 
     @staticmethod
     def _message_records(message: Message) -> list[bytes]:
         return Journal._message_records(message)[:1]
 
 
-class OldEndLasts(Journal):
-    """A message that comes again keeps its old end behind a replay, as it was before."""
+class ReplayKeepsOldEnd(Journal):
+    """Keeps the old end of a message that was submitted again in a replay."""
 
     def _apply_record(self, payload: bytes) -> None:
         ends = dict(self.ends)
@@ -144,17 +144,17 @@
         self.ends.update({i: e for i, e in ends.items() if i in self.owed})
 
 
-class LeavesTorn(Journal):
-    """The next record goes behind what a failed write left."""
+class AppendsAfterTornWrite(Journal):
+    """Appends the next record after the bytes that a failed write left."""
 
-    def _handle_write_error(self, error: OSError, wanted: int = 0) -> None:
+    def _handle_write_error(self, error: OSError, wanted_bytes: int = 0) -> None:
         if self.file is not None:
             self.file.size = max(self.file.size, self.file.torn_end)
-        Journal._handle_write_error(self, error, wanted)
+        Journal._handle_write_error(self, error, wanted_bytes)
 
 
-class KeepsTorn(Journal):
-    """A torn tail stays, and the next record goes behind it, where no replay comes."""
+class KeepsTornTail(Journal):
+    """Keeps a torn tail and appends after it, where a replay does not read."""
 
     def open(self) -> None:
         size = self.path.stat().st_size if self.path.exists() else 0
@@ -163,22 +163,22 @@
         self.file.size = max(self.file.size, size)
 
 
-class NewFirst(Journal):
-    """Something new is taken before what had happened is written."""
+class WritesNewRecordsFirst(Journal):
+    """Writes new records before queued ones."""
 
     def _append(self, record: bytes) -> bool:
-        kept, self._unwritten = self._unwritten, deque()
+        queued, self._unwritten = self._unwritten, deque()
         try:
             return Journal._append(self, record)
         finally:
-            self._unwritten = kept
+            self._unwritten = queued
 
     def behind(self) -> bool:
         return False
 
 
-class ForgetfulMemory(MemoryStore):
-    """The same as the first, in memory."""
+class DropsRefusedChanges(MemoryStore):
+    """Drops changes that the full durable state refuses."""
 
     def behind(self) -> bool:
         if self.durable.full:
@@ -186,127 +186,138 @@
         return MemoryStore.behind(self)
 
 
-def in_any_order(bench: Callable[[], Bench]) -> None:
-    check_any_order(bench, Phase.generate)
+def check_generated_order(make_harness: Callable[[], StoreHarness]) -> None:
+    check_any_order(make_harness, Phase.generate)
 
 
 @pytest.mark.parametrize(
-    ("bench", "checks"),
+    ("make_harness", "checks"),
     [
-        (lambda: JournalBench(ForgetsEnds, "refuses"), (*CHECKS[:2], in_any_order)),
-        (lambda: JournalBench(ForgetsBegun), (CHECKS[0], in_any_order, check_killed_at_each_write)),
-        (lambda: JournalBench(OldEndLasts), (in_any_order,)),
-        (lambda: JournalBench(LeavesTorn), (check_one_write_fails,)),
-        (lambda: JournalBench(KeepsTorn), ON_FILES),
-        (lambda: JournalBench(NewFirst, "refuses"), (CHECKS[0], in_any_order)),
-        (lambda: MemoryBench(ForgetfulMemory), (CHECKS[0], in_any_order)),
+        (lambda: JournalHarness(DropsRefusedRecords, "refuses"), (*CHECKS[:2], check_generated_order)),
+        (
+            lambda: JournalHarness(CompactionDropsAttempts),
+            (CHECKS[0], check_generated_order, check_killed_at_each_write),
+        ),
+        (lambda: JournalHarness(ReplayKeepsOldEnd), (check_generated_order,)),
+        (lambda: JournalHarness(AppendsAfterTornWrite), (check_one_write_fails,)),
+        (lambda: JournalHarness(KeepsTornTail), FILE_CHECKS),
+        (lambda: JournalHarness(WritesNewRecordsFirst, "refuses"), (CHECKS[0], check_generated_order)),
+        (lambda: MemoryHarness(DropsRefusedChanges), (CHECKS[0], check_generated_order)),
     ],
 )
-def test_the_contract_catches_a_broken_store(
-    bench: Callable[[], Bench], checks: tuple[Callable[[Callable[[], Bench]], None], ...]
+def test_contract_detects_broken_store(
+    make_harness: Callable[[], StoreHarness], checks: tuple[Callable[[Callable[[], StoreHarness]], None], ...]
 ) -> None:
     for check in checks:
         with pytest.raises(AssertionError):
-            check(bench)
+            check(make_harness)
 
 
 # A message without a key.
-WHOLE = MAGIC + encode_record(b"T" + encode_byte_strings(b"m", b"c", b"t", b"p", b"", b"body") + bytes(16))
-BEGAN = encode_record(encode_status(BEGUN, "m", 0))
+ACCEPTED_RECORD = MAGIC + encode_record(
+    b"T" + encode_byte_strings(b"m", b"c", b"t", b"p", b"", b"body") + bytes(16)
+)
+BEGUN_RECORD = encode_record(encode_status(BEGUN, "m", 0))
 
 
 @pytest.mark.parametrize(
-    ("behind", "begun", "refused"),
+    ("tail", "begun", "error"),
     [
         (b"", False, ""),
-        (BEGAN, True, ""),  # as older versions wrote it, without its time
+        (BEGUN_RECORD, True, ""),  # without a time, as older versions wrote it
         (bytes(100), False, ""),
-        (BEGAN[:4] + b"\xff" + BEGAN[5:], False, ""),
-        (b"\xff\xff\xff\x7f" + BEGAN[4:], False, ""),
-        (encode_record(bytes(1 << 20) + b"x") + BEGAN, False, ""),
+        (BEGUN_RECORD[:4] + b"\xff" + BEGUN_RECORD[5:], False, ""),
+        (b"\xff\xff\xff\x7f" + BEGUN_RECORD[4:], False, ""),
+        (encode_record(bytes(1 << 20) + b"x") + BEGUN_RECORD, False, ""),
         (encode_record(b"Z" + encode_byte_strings(b"m")), False, "unreadable record"),
         (encode_record(b"B" + b"\xff\xff\xff\xff"), False, "unreadable record"),
     ],
 )
-def test_older_overlong_and_damaged_records(tmp_path: Path, behind: bytes, begun: bool, refused: str) -> None:
-    (tmp_path / "messages.log").write_bytes(WHOLE + behind)
-    journal = Journal(tmp_path, 3_000_000, lambda: NOW)
-    if refused:
-        with pytest.raises(JournalError, match=refused):
+def test_journal_reads_old_records_and_rejects_damaged_ones(
+    tmp_path: Path, tail: bytes, begun: bool, error: str
+) -> None:
+    (tmp_path / "messages.log").write_bytes(ACCEPTED_RECORD + tail)
+    journal = Journal(tmp_path, 3_000_000, lambda: NOW_US)
+    if error:
+        with pytest.raises(JournalError, match=error):
             journal.open()
-        assert (tmp_path / "messages.log").read_bytes() == WHOLE + behind and journal.lock_fd < 0
+        assert (tmp_path / "messages.log").read_bytes() == ACCEPTED_RECORD + tail and journal.lock_fd < 0
         return
     journal.open()
     assert journal.owed["m"].unsettled == ({0: 0} if begun else {})
     journal.close()
 
 
-@pytest.mark.parametrize("fails_at", [0, 1, 2])
-@pytest.mark.parametrize("short", [False, True])
-def test_a_take_over_is_whole_or_not_at_all(fails_at: int, short: bool) -> None:
-    """The other file went whatever was recorded, and with it what was owed."""
-    bench = JournalBench()
-    with bench.set_up():
-        ledger = Ledger(bench)
-        for op in SCRIPT[:13]:
-            ledger.do(op)
-        bench.store.close()
-        lock = os.open(bench.folder / "messages.lock", os.O_RDWR)
-        fcntl.flock(lock, fcntl.LOCK_EX)  # as the process before, while it still serves
-        new = bench.open()
-        assert new.slot == "messages.b" and new.absorb() is None
-        os.close(lock)
-        bench.disk.fails_at, bench.disk.short = bench.disk.writes + fails_at, short
-        taken = new.absorb()
-        assert (taken is None) == (fails_at == 1) == bool(new.trouble)
-        bench.disk.fails_at = 0
-        assert taken is None or {m.id for m in taken} == ledger.messages.keys()
-        bench.kill()
-        last = bench.open()
-        assert last.absorb() is not None
-        ledger.check(last)
-
-
-def test_what_is_taken_over_is_owned_though_its_file_cannot_be_removed(
+@pytest.mark.parametrize("failing_write_number", [0, 1, 2])
+@pytest.mark.parametrize("short_write", [False, True])
+def test_take_over_is_atomic_when_a_write_fails(failing_write_number: int, short_write: bool) -> None:
+    """Guards against removing the other process's file before its messages are recorded, which lost them."""
+    harness = JournalHarness()
+    with harness.running():
+        model = ReferenceModel(harness)
+        for operation in OPERATIONS[:13]:
+            model.apply(operation)
+        harness.store.close()
+        lock_fd = os.open(harness.folder / "messages.lock", os.O_RDWR)
+        fcntl.flock(lock_fd, fcntl.LOCK_EX)  # held as by the previous process, which still runs
+        successor = harness.open()
+        assert successor.slot == "messages.b" and successor.absorb() is None
+        os.close(lock_fd)
+        harness.disk.failing_write_number, harness.disk.short_write = (
+            harness.disk.write_count + failing_write_number,
+            short_write,
+        )
+        taken_over = successor.absorb()
+        assert (taken_over is None) == (failing_write_number == 1) == bool(successor.trouble)
+        harness.disk.failing_write_number = 0
+        assert taken_over is None or {m.id for m in taken_over} == model.messages.keys()
+        harness.kill()
+        third = harness.open()
+        assert third.absorb() is not None
+        model.check(third)
+
+
+def test_messages_taken_over_are_owned_even_if_the_old_file_cannot_be_removed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was recorded here, and neither owed here nor left to the next process."""
+    """Guards against messages that were recorded here, but owed neither here nor by the next process."""
 
-    def refused(path: Path, missing_ok: bool = False) -> None:
+    def refuse_unlink(path: Path, missing_ok: bool = False) -> None:
         raise PermissionError(errno.EACCES, "Permission denied")
 
-    first, second = (Journal(tmp_path, 3_000_000, lambda: NOW) for _ in range(2))
+    first, second = (Journal(tmp_path, 3_000_000, lambda: NOW_US) for _ in range(2))
     first.open()
     second.open()
     assert first.take(Message("a", "c", "t", 3, 5_000_000, b"", "platform"))
     first.close()
-    monkeypatch.setattr(Path, "unlink", refused)
-    taken = second.absorb()
-    assert taken is not None and [m.id for m in taken] == ["a"] and second.absorb() == []
-    second.end(taken[0], DELIVERED)
+    monkeypatch.setattr(Path, "unlink", refuse_unlink)
+    taken_over = second.absorb()
+    assert taken_over is not None and [m.id for m in taken_over] == ["a"] and second.absorb() == []
+    second.end(taken_over[0], DELIVERED)
     second.close()
     monkeypatch.undo()
-    third = Journal(tmp_path, 3_000_000, lambda: NOW)
+    third = Journal(tmp_path, 3_000_000, lambda: NOW_US)
     third.open()
     assert third.absorb() == [] and not third.owed and third.ended("a") == DELIVERED
 
 
-def test_a_look_at_the_other_slot_that_fails_is_repeated(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """With no descriptor left it ended the task that waits for the other process, and the orderly exit."""
+def test_failed_check_of_the_other_slot_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an error that ended the take-over task and the orderly shutdown.
+
+    It occurs when the process has no file descriptors left.
+    """
 
-    def short(*_: object, **__: object) -> int:
+    def fail_without_descriptors(*_: object, **__: object) -> int:
         raise OSError(errno.EMFILE, "Too many open files")
 
-    now = [NOW]
-    first, second = (Journal(tmp_path, 3_000_000, lambda: now[0]) for _ in range(2))
+    now_us = [NOW_US]
+    first, second = (Journal(tmp_path, 3_000_000, lambda: now_us[0]) for _ in range(2))
     first.open()
     second.open()
     assert first.take(Message("a", "c", "t", 3, 5_000_000, b"", "platform"))
     first.close()
     with monkeypatch.context() as patch:
-        patch.setattr("rowanrack.store.journal.os.open", short)
+        patch.setattr("rowanrack.store.journal.os.open", fail_without_descriptors)
         assert second.absorb() is None and not second.shared()
-    now[0] += 2 * RETRY_DELAY_US
+    now_us[0] += 2 * RETRY_DELAY_US
     assert [m.id for m in second.absorb() or []] == ["a"]
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""A full disk: what a sender records, takes, begins and says of it, in one process and across a kill."""
+"""A full disk: what a sender records, accepts, starts and reports, within one process and across a kill."""
 
 from __future__ import annotations
 
@@ -13,152 +13,156 @@
 from rowanrack.net.http import Reply
 from rowanrack.store.journal import Journal, JournalError
 from rowanspindle import Result
-from tests.contracts.stores import Disk
+from tests.contracts.stores import FaultyDisk
 from tests.rig import SETTINGS, Process, Rig, answers, on_loop
 from tests.test_core import SECOND_US, Desk
-from tests.test_parts import peek
+from tests.test_parts import read_journal
 
 
 @pytest.fixture
-def disk(monkeypatch: pytest.MonkeyPatch) -> Disk:
-    disk = Disk()
+def disk(monkeypatch: pytest.MonkeyPatch) -> FaultyDisk:
+    disk = FaultyDisk()
     monkeypatch.setattr("rowanrack.store.journal_file.os", disk)
     return disk
 
 
-def limit(pid: int, size: int) -> None:
-    """The longest that a running process may make a file, in bytes."""
+def limit_file_size(pid: int, size: int) -> None:
+    """Limit the size of files that a running process may write, in bytes."""
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
 
 @on_loop
-async def test_an_end_behind_a_full_disk_outlasts_a_kill(tmp_path: Path) -> None:
-    """It was owed again, and went out a second time, although the disk had had room in between."""
+async def test_end_recorded_after_a_full_disk_survives_a_kill(tmp_path: Path) -> None:
+    """Guards against delivering a message twice because its queued end was lost by a kill.
+
+    The end was not written although the disk had room again before the kill.
+    """
     answer = asyncio.Event()
 
-    async def late(_: object) -> Reply | None:
+    async def answer_late(_: object) -> Reply | None:
         await answer.wait()
         return Reply(200, {})
 
-    async with Rig(tmp_path, late) as rig, Process(rig, tmp_path) as process:
+    async with Rig(tmp_path, answer_late) as rig, Process(rig, tmp_path) as process:
         client = await process.client()
         assert await client.submit("m1", "print-order", d=20_000) == b"+OK\r\n"
         await rig.servers[0].asked(1)
-        limit(process.child.pid, 100)  # under what the file has: its reserved room fails too
+        # Below the file's size, so that writes into reserved space fail too.
+        limit_file_size(process.child.pid, 100)
         answer.set()
         await process.logged("cannot write, no new messages are accepted: File too large")
         assert (await client.submit("m2")).startswith(b"-BUSY")
-        owed = peek(process.folder).owed
+        owed = read_journal(process.folder).owed
         assert list(owed) == ["m1"] and owed["m1"].unsettled
-        limit(process.child.pid, resource.RLIM_INFINITY)
-        await process.logged("the disk has room again")  # though nobody asks it for anything
-        assert peek(process.folder).ended("m1") == End(Ending.DELIVERED)
+        limit_file_size(process.child.pid, resource.RLIM_INFINITY)
+        await process.logged("the disk has room again")  # without any request from a client
+        assert read_journal(process.folder).ended("m1") == End(Ending.DELIVERED)
         process.child.kill()
         await process.child.wait()
-        before = peek(process.folder)
+        before = read_journal(process.folder)
         assert before.ended("m1") == End(Ending.DELIVERED) and "m1" not in before.owed
         await process.start()
         again = await process.client()
-        assert await again.submit("m1", "print-order", d=20_000) == b"+OK\r\n"  # known, with its end
+        assert await again.submit("m1", "print-order", d=20_000) == b"+OK\r\n"  # already known, with its end
         assert await again.submit("m4") == b"+OK\r\n"
         assert [r.headers["x-txn"] for r in await rig.servers[0].asked(2)] == ["m1", "m4"]
 
 
-@pytest.mark.parametrize("then_ends", [True, False])
-def test_what_is_owed_goes_on_in_its_reserved_room(
-    tmp_path: Path, disk: Disk, caplog: pytest.LogCaptureFixture, then_ends: bool
+@pytest.mark.parametrize("then_completes", [True, False])
+def test_owed_messages_are_completed_in_reserved_space(
+    tmp_path: Path, disk: FaultyDisk, caplog: pytest.LogCaptureFixture, then_completes: bool
 ) -> None:
     desk = Desk(tmp_path, {"limits": SETTINGS["limits"] | {"most_held": 500}})
     attempt = desk.submit("m1")
-    assert desk.journal._compact()  # the new file has that room too
+    assert desk.journal._compact()  # the new file reserves the same space
     disk.mode = "full"
-    if then_ends:
+    if then_completes:
         assert desk.exchange.begin(attempt)
         desk.exchange.settle(attempt, Result.OK)
-        assert peek(tmp_path).ends.keys() == {"m1"} and not desk.journal.behind()
+        assert read_journal(tmp_path).ends.keys() == {"m1"} and not desk.journal.behind()
         return
-    taken = [n for n in range(200) if desk.exchange.submit(order(desk, str(n))) is None]
-    assert 3 < len(taken) < 100  # as many as the room at hand is promised to
+    accepted = [n for n in range(200) if desk.exchange.submit(make_message(desk, str(n))) is None]
+    assert 3 < len(accepted) < 100  # as many as fit into the space already reserved
     assert desk.exchange.begin(attempt)
     desk.exchange.settle(attempt, Result.OK)
-    assert peek(tmp_path).ends.keys() == {"m1"} and not desk.journal.behind()
+    assert read_journal(tmp_path).ends.keys() == {"m1"} and not desk.journal.behind()
     disk.mode = "room"
     desk.run(200_000)
-    assert desk.journal.recording() and desk.exchange.submit(order(desk, "more")) is None
+    assert desk.journal.recording() and desk.exchange.submit(make_message(desk, "more")) is None
     lines = [r.message for r in caplog.records if r.levelno >= logging.WARNING]
     assert len(lines) == 2 and "no new messages" in lines[0] and "room again" in lines[1]
 
 
-def test_a_sender_with_nothing_else_to_do_looks_whether_there_is_room(tmp_path: Path, disk: Disk) -> None:
+def test_idle_sender_checks_for_disk_space(tmp_path: Path, disk: FaultyDisk) -> None:
     desk = Desk(tmp_path)
     desk.run(SECOND_US)
     disk.mode = "refuses"
-    assert desk.exchange.submit(order(desk, "m1")) is not None
-    looks_at = desk.exchange.wheel.next_at()
-    assert looks_at is not None and 0 < looks_at - desk.now <= 110_000
+    assert desk.exchange.submit(make_message(desk, "m1")) is not None
+    next_check_at = desk.exchange.wheel.next_at()
+    assert next_check_at is not None and 0 < next_check_at - desk.now <= 110_000
 
 
-def test_a_record_that_was_not_written_goes_ahead_of_the_next(tmp_path: Path, disk: Disk) -> None:
+def test_unwritten_record_is_written_before_the_next_one(tmp_path: Path, disk: FaultyDisk) -> None:
     desk = Desk(tmp_path)
-    messages = [order(desk, name) for name in ("a", "b")]
+    messages = [make_message(desk, name) for name in ("a", "b")]
     assert all(desk.journal.take(m) for m in messages)
-    disk.fails_at = disk.writes + 1
+    disk.failing_write_number = disk.write_count + 1
     desk.journal.end(messages[0], End(Ending.DELIVERED))
-    assert not peek(tmp_path).ends
+    assert not read_journal(tmp_path).ends
     desk.journal.end(messages[1], End(Ending.DELIVERED))
-    assert list(peek(tmp_path).ends) == ["a", "b"]
+    assert list(read_journal(tmp_path).ends) == ["a", "b"]
 
 
-@pytest.mark.parametrize("short", [False, True])
-def test_a_first_start_on_a_full_disk_says_so_and_leaves_nothing_held(
-    tmp_path: Path, disk: Disk, short: bool
+@pytest.mark.parametrize("short_write", [False, True])
+def test_first_start_on_a_full_disk_fails_and_releases_the_slot(
+    tmp_path: Path, disk: FaultyDisk, short_write: bool
 ) -> None:
-    disk.fails_at, disk.short = 1, short
+    disk.failing_write_number, disk.short_write = 1, short_write
     journal = Journal(tmp_path, 3_000_000, lambda: SECOND_US)
-    with pytest.raises(JournalError, match="only 10 of 20" if short else "No space left"):
+    with pytest.raises(JournalError, match="only 10 of 20" if short_write else "No space left"):
         journal.open()
     journal.open()
     assert journal.slot == "messages" and journal.take(Message("m", "c", "t", 3, SECOND_US, b"", "platform"))
 
 
-def order(desk: Desk, name: str) -> Message:
+def make_message(desk: Desk, name: str) -> Message:
     return Message(name, "print-order", "a", 7, desk.now + 3 * SECOND_US, b"x", "platform")
 
 
-def test_a_disk_that_refuses_uses_up_no_attempts_and_blames_nobody(tmp_path: Path, disk: Disk) -> None:
-    """Each call was stopped at its first byte and made anew in the next round, until no attempt was left."""
+def test_disk_error_consumes_no_attempts_and_causes_no_outage(tmp_path: Path, disk: FaultyDisk) -> None:
+    """Guards against stopping each call before its first byte and repeating it until no attempt is left."""
     desk = Desk(tmp_path)
     first = desk.submit("m1")
-    assert desk.exchange.begin(first) and desk.exchange.submit(order(desk, "m2")) is None
+    assert desk.exchange.begin(first) and desk.exchange.submit(make_message(desk, "m2")) is None
     disk.mode = "refuses"
     desk.exchange.settle(first, Result.OK)
     assert desk.ends == {"m1": End(Ending.DELIVERED)} and desk.exchange.known("m1") == desk.ends["m1"]
     desk.run(2 * SECOND_US)
     assert desk.calls == [first] and 2 <= desk.exchange.messages["m2"].attempts_made <= 5
     assert desk.exchange.forwarder.endpoints["i0"].out_since is None
-    assert desk.exchange.submit(order(desk, "m3")) is not None
+    assert desk.exchange.submit(make_message(desk, "m3")) is not None
     disk.mode = "room"
     desk.run(700_000)
-    assert peek(tmp_path).ends.keys() == {"m1"}
+    assert read_journal(tmp_path).ends.keys() == {"m1"}
     assert desk.calls[1].message.id == "m2" and desk.exchange.begin(desk.calls[1])
 
 
-def test_what_is_over_behind_a_full_disk_is_written_in_order(tmp_path: Path, disk: Disk) -> None:
+def test_ends_queued_during_a_full_disk_are_written_later(tmp_path: Path, disk: FaultyDisk) -> None:
     desk = Desk(tmp_path)
     first = desk.submit("m1")
-    assert desk.exchange.begin(first) and desk.exchange.submit(order(desk, "m2")) is None
+    assert desk.exchange.begin(first) and desk.exchange.submit(make_message(desk, "m2")) is None
     disk.mode = "refuses"
     desk.exchange.settle(first, CallVerdict(Result.FULL, SECOND_US))
     desk.run(4 * SECOND_US)
     assert {i: e.ending for i, e in desk.ends.items()} == dict.fromkeys(("m1", "m2"), Ending.REFUSED)
-    assert not peek(tmp_path).ends
+    assert not read_journal(tmp_path).ends
     disk.mode = "room"
     desk.run(200_000)
-    assert peek(tmp_path).ends.keys() == {"m1", "m2"}
+    assert read_journal(tmp_path).ends.keys() == {"m1", "m2"}
 
 
 @on_loop
-async def test_readiness_says_that_nothing_is_recorded(tmp_path: Path, disk: Disk) -> None:
+async def test_readiness_reports_that_the_journal_cannot_write(tmp_path: Path, disk: FaultyDisk) -> None:
     async with Rig(tmp_path, answers(Reply(200, {}))) as rig:
         client = await rig.client()
         assert rig.sender.ready() and rig.sender.unready() == ""
@@ -173,12 +177,12 @@
 
 @pytest.mark.parametrize("id_length", [1, 256])
 @pytest.mark.parametrize("key", ["", "k"])
-def test_the_files_stay_in_the_budget_with_each_message_at_its_worst(
-    tmp_path: Path, disk: Disk, id_length: int, key: str
+def test_files_stay_within_the_budget_with_the_largest_records(
+    tmp_path: Path, disk: FaultyDisk, id_length: int, key: str
 ) -> None:
-    """What was reckoned for attempts and ends was too little for ids longer than 19 bytes."""
-    most, now, budget = [0], [SECOND_US], 150_000
-    disk.before = lambda: most.append(sum(f.stat().st_size for f in tmp_path.iterdir()))
+    """Guards against reserving too little for attempts and ends of messages with ids longer than 19 bytes."""
+    sizes, now, budget = [0], [SECOND_US], 150_000
+    disk.before_write = lambda: sizes.append(sum(f.stat().st_size for f in tmp_path.iterdir()))
     journal = Journal(tmp_path, budget, lambda: now[0], attempts=3)
     journal.open()
     for wave in range(4):
@@ -198,6 +202,6 @@
             journal.end(message, End(Ending.FAILED))
             journal.told(message.id)
         assert journal.file is not None and journal.file.size <= journal.file.reserved_end
-        now[0] += 100 * SECOND_US  # the ends are of no use any more
-    assert max(most) <= budget
+        now[0] += 100 * SECOND_US  # all ends are expired
+    assert max(sizes) <= budget
     journal.close()
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,4 @@
-"""Recordings: their format, their writing beside a sender, and the model fitted to them."""
+"""Recordings: their format, the recorder in a sender, and the fit of the model to them."""
 
 from __future__ import annotations
 
@@ -44,36 +44,42 @@
 from rowanspindle import Result
 from tests.test_core import Desk
 from tests.test_model import cli
-from tests.test_parts import SITE
+from tests.test_parts import OPERATOR_SETTINGS
 
 BEGINS = Begins(
     "s", "life", 5_000_000, 1_000_000, [("c", 1, 2, 1.0, 0.5, True)], {}, 8, 20, 6, 5000, 0.3, 1, 1.5, 1
 )
 
 
-def written(
-    path: Path, blocks: int = 3, clock: Callable[[int], int] = lambda n: 5_000_000 + n * SECOND_US
+def write_recording(
+    path: Path,
+    blocks: int = 3,
+    clock: Callable[[int], int] = lambda block_number: 5_000_000 + block_number * SECOND_US,
 ) -> Path:
-    """A file whose block n holds one arrival."""
+    """Write a file in which each block contains one arrival."""
     writer = FileWriter(path)
-    for n in range(blocks):
-        records: list[Record] = [BEGINS] if not n else []
-        writer.write(clock(n), 1_000_000 + n * SECOND_US, [*records, Taken(n, n, "c", "", 7, 100, 3)])
+    for block_number in range(blocks):
+        records: list[Record] = [BEGINS] if not block_number else []
+        writer.write(
+            clock(block_number),
+            1_000_000 + block_number * SECOND_US,
+            [*records, Taken(block_number, block_number, "c", "", 7, 100, 3)],
+        )
     writer.close()
     return path
 
 
-def test_what_is_written_is_read(tmp_path: Path) -> None:
-    found = read(written(tmp_path / "a.rec"))
+def test_written_recording_is_read_back(tmp_path: Path) -> None:
+    found = read(write_recording(tmp_path / "a.rec"))
     assert found.begins == BEGINS and [r.at for r in found.records[1:]] == [0, 1, 2] and not found.remarks
 
 
-def flip(raw: bytes, at: int) -> bytes:
+def flip_bit(raw: bytes, at: int) -> bytes:
     return raw[:at] + bytes([raw[at] ^ 1]) + raw[at + 1 :]
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("damage", "expected_error"),
     [
         (lambda raw: b"", "not a rowanrack recording"),
         (lambda raw: b"x" + raw[1:], "not a rowanrack recording"),
@@ -81,47 +87,47 @@
             lambda raw: FILE_HEADER.pack(MAGIC, 2) + raw[FILE_HEADER.size :],
             "recording format 2 is not supported; this version reads format 1",
         ),
-        (lambda raw: flip(raw, len(raw) - 1), "block 3 at byte"),
+        (lambda raw: flip_bit(raw, len(raw) - 1), "block 3 at byte"),
         (
-            lambda raw: flip(raw, FILE_HEADER.size + BLOCK_HEADER.size + 1),
+            lambda raw: flip_bit(raw, FILE_HEADER.size + BLOCK_HEADER.size + 1),
             "block 1 at byte 22 does not match its checksum",
         ),
-        (lambda raw: flip(raw, FILE_HEADER.size), "block 1 at byte 22 does not match its checksum"),
+        (lambda raw: flip_bit(raw, FILE_HEADER.size), "block 1 at byte 22 does not match its checksum"),
         (lambda raw: raw[: FILE_HEADER.size], "the first record does not describe the sender"),
     ],
 )
-def test_a_spoilt_recording_is_one_plain_line(
-    tmp_path: Path, change: Callable[[bytes], bytes], said: str
+def test_damaged_recording_gives_a_one_line_error(
+    tmp_path: Path, damage: Callable[[bytes], bytes], expected_error: str
 ) -> None:
-    path = written(tmp_path / "a.rec")
-    path.write_bytes(change(path.read_bytes()))
-    with pytest.raises(RecordingError, match=said) as caught:
+    path = write_recording(tmp_path / "a.rec")
+    path.write_bytes(damage(path.read_bytes()))
+    with pytest.raises(RecordingError, match=expected_error) as caught:
         read(path)
     assert str(caught.value).startswith(f"{path}: ") and "\n" not in str(caught.value)
 
 
-def test_a_recording_that_is_cut_off_anywhere_keeps_its_whole_blocks(tmp_path: Path) -> None:
-    raw = written(tmp_path / "a.rec").read_bytes()
-    ends = [len(written(tmp_path / f"{n}.rec", n).read_bytes()) for n in (1, 2, 3)]
-    for cut in range(ends[0], len(raw)):
-        (tmp_path / "b.rec").write_bytes(raw[:cut])
+def test_truncated_recording_keeps_its_complete_blocks(tmp_path: Path) -> None:
+    raw = write_recording(tmp_path / "a.rec").read_bytes()
+    block_ends = [len(write_recording(tmp_path / f"{n}.rec", n).read_bytes()) for n in (1, 2, 3)]
+    for cut_at in range(block_ends[0], len(raw)):
+        (tmp_path / "b.rec").write_bytes(raw[:cut_at])
         found = read(tmp_path / "b.rec")
-        whole = sum(end <= cut for end in ends)
-        assert len(found.records) == 1 + whole
-        assert bool(found.remarks) is (cut not in ends)
+        complete = sum(end <= cut_at for end in block_ends)
+        assert len(found.records) == 1 + complete
+        assert bool(found.remarks) is (cut_at not in block_ends)
     assert "truncated in block 3" in found.remarks[0]
 
 
-def test_a_block_that_was_taken_out_is_found(tmp_path: Path) -> None:
-    raw = written(tmp_path / "a.rec").read_bytes()
-    one, two = (len(written(tmp_path / f"{n}.rec", n).read_bytes()) for n in (1, 2))
+def test_removed_block_is_detected(tmp_path: Path) -> None:
+    raw = write_recording(tmp_path / "a.rec").read_bytes()
+    one, two = (len(write_recording(tmp_path / f"{n}.rec", n).read_bytes()) for n in (1, 2))
     (tmp_path / "b.rec").write_bytes(raw[:one] + raw[two:])
     with pytest.raises(RecordingError, match="block 2"):
         read(tmp_path / "b.rec")
 
 
-def test_a_clock_that_is_set_is_remarked_and_moves_no_record(tmp_path: Path) -> None:
-    path = written(
+def test_clock_step_is_remarked_and_moves_no_record(tmp_path: Path) -> None:
+    path = write_recording(
         tmp_path / "a.rec", clock=lambda n: 5_000_000 + n * SECOND_US - (3_600 * SECOND_US if n == 2 else 0)
     )
     found = read(path)
@@ -131,8 +137,8 @@
     )
 
 
-class Now:
-    """A disk that writes in the call, for the rest to be looked at at once."""
+class ImmediateWriter:
+    """Replaces `RecordingWriter`: writes each block immediately, without a thread."""
 
     def __init__(self, path: Path) -> None:
         self.writer, self.blocks = FileWriter(path), self
@@ -149,10 +155,10 @@
         self.writer.close()
 
 
-def test_a_sender_records_what_happens_and_no_body_and_no_id(tmp_path: Path) -> None:
+def test_sender_records_events_without_bodies_and_ids(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
     desk = Desk(tmp_path / "state")
-    recorder = Recorder("desk", desk.exchange, Now(tmp_path / "a.rec"))  # type: ignore[arg-type]
+    recorder = Recorder("desk", desk.exchange, ImmediateWriter(tmp_path / "a.rec"))  # type: ignore[arg-type]
     recorder.start()
     attempt = desk.submit("secret-id")
     assert desk.exchange.begin(attempt)
@@ -184,75 +190,80 @@
     assert arrival.ending and away.ending == "nack"
 
 
-def records(count: int) -> list[Record]:
+def make_records(count: int) -> list[Record]:
     rng = Random(1)
     return [Taken(n, n, "c", "", rng.randrange(10**9), rng.randrange(10**9), 1) for n in range(count)]
 
 
-def used(folder: Path) -> int:
-    """Bytes on disk."""
+def bytes_on_disk(folder: Path) -> int:
+    """Return the size of all recordings in a folder."""
     return sum(path.stat().st_size for path in folder.glob("*.rec"))
 
 
-def written_by(disk: RecordingWriter, *blocks: tuple[list[Record], bool]) -> None:
-    """Blocks that its thread would write, one after the other."""
-    for n, (held, starts_file) in enumerate(blocks):
-        disk._write(n, n, held, starts_file)
+def write_blocks(disk: RecordingWriter, *blocks: tuple[list[Record], bool]) -> None:
+    """Write blocks in order, as the writer's thread does."""
+    for n, (records, starts_file) in enumerate(blocks):
+        disk._write(n, n, records, starts_file)
 
 
-def test_the_room_on_disk_is_bounded_at_every_moment_and_the_oldest_goes_first(
+def test_disk_space_is_bounded_at_every_moment_and_the_oldest_file_is_deleted_first(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Room was made only once a block was written: 17,316 of 16,000 bytes stood there in between."""
-    append, looks = FileWriter.append, list[int]()
+    """Guards against freeing space only after writing a block, which took up to 17,316 of 16,000 bytes."""
+    original_append, measured_bytes = FileWriter.append, list[int]()
 
-    def looked_at(writer: FileWriter, *block: Any) -> None:
-        append(writer, *block)
-        looks.append(used(tmp_path))
+    def append_and_measure(writer: FileWriter, *block: Any) -> None:
+        original_append(writer, *block)
+        measured_bytes.append(bytes_on_disk(tmp_path))
 
-    monkeypatch.setattr(FileWriter, "append", looked_at)
+    monkeypatch.setattr(FileWriter, "append", append_and_measure)
     monkeypatch.setattr(recording, "MIN_FILE_BYTES", 1_000)
     disk = RecordingWriter(tmp_path, "s", 16_000)
     for _ in range(40):
-        written_by(disk, ([BEGINS, *records(100)], disk.full))
-    assert 14_000 < max(looks) <= 16_000 and len(looks) == 40
-    kept = recording.recording_files(tmp_path, "s")
-    numbers = [int(p.stem[2:]) for p in kept]
+        write_blocks(disk, ([BEGINS, *make_records(100)], disk.full))
+    assert 14_000 < max(measured_bytes) <= 16_000 and len(measured_bytes) == 40
+    paths = recording.recording_files(tmp_path, "s")
+    numbers = [int(p.stem[2:]) for p in paths]
     assert numbers[0] > 1 and numbers == list(range(numbers[0], numbers[-1] + 1))
-    assert all(isinstance(read(p).records[0], Begins) for p in kept)
-    after = RecordingWriter(tmp_path, "s", 16_000)  # the next process goes on behind them
-    after.start()
-    after.blocks.put((1, 1, [BEGINS], True))
-    after.close()
+    assert all(isinstance(read(p).records[0], Begins) for p in paths)
+    successor = RecordingWriter(tmp_path, "s", 16_000)  # the next process continues the numbering
+    successor.start()
+    successor.blocks.put((1, 1, [BEGINS], True))
+    successor.close()
     assert recording.recording_files(tmp_path, "s")[-1].stem == f"s-{numbers[-1] + 1:06d}"
 
 
-def test_a_block_without_room_is_dropped_and_the_next_file_counts_it(
+def test_block_without_space_is_dropped_and_counted_in_the_next_file(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """And nothing goes on from it: a file whose first record says nothing of the sender cannot be read."""
+    """Guards against continuing a file after a dropped block.
+
+    A file can be read only if its first record describes the sender.
+    """
     (tmp_path / "state").mkdir()
     desk, disk = Desk(tmp_path / "state"), RecordingWriter(tmp_path / "rec", "s", 2_000)
     recorder = Recorder("s", desk.exchange, disk)
     recorder.start()
     disk.close()
-    written_by(disk, ([BEGINS, *records(3)], True), (records(200), False), (records(4), False))
+    write_blocks(
+        disk, ([BEGINS, *make_records(3)], True), (make_records(200), False), (make_records(4), False)
+    )
     assert disk.full and disk.dropped == 204 and caplog.text.count("no room") == 1
     recorder.flush()
-    for held, starts_file in ((b[2], b[3]) for b in [disk.blocks.get_nowait()] if b is not None):
-        written_by(disk, (held, starts_file))
+    for records, starts_file in ((b[2], b[3]) for b in [disk.blocks.get_nowait()] if b is not None):
+        write_blocks(disk, (records, starts_file))
     first, second = (read(p) for p in recording.recording_files(tmp_path / "rec", "s"))
     assert len(first.records) == 4 and [r.lost for r in second.records if isinstance(r, Gap)] == [204]
-    assert not disk.full and used(tmp_path / "rec") <= 2_000
+    assert not disk.full and bytes_on_disk(tmp_path / "rec") <= 2_000
 
 
-def test_a_full_disk_ends_the_recording_with_one_line_and_serving_goes_on(
+def test_full_disk_ends_the_recording_with_one_log_line_and_the_sender_continues(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    def fails(*_: object) -> None:
+    def fail_disk_full(*_: object) -> None:
         raise OSError(errno.ENOSPC, "No space left on device")
 
-    monkeypatch.setattr(FileWriter, "append", fails)
+    monkeypatch.setattr(FileWriter, "append", fail_disk_full)
     (tmp_path / "state").mkdir()
     desk = Desk(tmp_path / "state")
     disk = RecordingWriter(tmp_path / "rec", "s", 1 << 20)
@@ -272,7 +283,9 @@
     recorder.close()
 
 
-def test_a_folder_that_cannot_be_made_is_the_same(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_folder_that_cannot_be_created_ends_the_recording(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     (tmp_path / "file").write_text("")
     disk = RecordingWriter(tmp_path / "file" / "rec", "s", 1 << 20)
     disk.start()
@@ -281,41 +294,44 @@
     assert disk.failed and "Not a directory" in caplog.text
 
 
-def test_a_disk_that_does_not_keep_up_leaves_a_gap_that_is_counted(tmp_path: Path) -> None:
+def test_slow_disk_leaves_a_counted_gap(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
-    desk, now = Desk(tmp_path / "state"), Now(tmp_path / "a.rec")
-    recorder = Recorder("s", desk.exchange, now)  # type: ignore[arg-type]
+    desk, immediate = Desk(tmp_path / "state"), ImmediateWriter(tmp_path / "a.rec")
+    recorder = Recorder("s", desk.exchange, immediate)  # type: ignore[arg-type]
     recorder.start()
     recorder.flush()
-    writes, behind = now.put_nowait, True
+    original_put, queue_full = immediate.put_nowait, True
 
     def put(block: Any) -> None:
-        if behind:
+        if queue_full:
             raise queue.Full
-        writes(block)
+        original_put(block)
 
-    now.put_nowait = put  # type: ignore[method-assign]
+    immediate.put_nowait = put  # type: ignore[method-assign]
     desk.submit("m1")
-    before = len(recorder._pending)
+    pending_count = len(recorder._pending)
     recorder.flush()
     recorder.flush()
-    behind = False
+    queue_full = False
     desk.submit("m2")
-    now.writer.close()
-    now.writer = FileWriter(tmp_path / "b.rec")  # as a block that begins anew does
+    immediate.writer.close()
+    immediate.writer = FileWriter(tmp_path / "b.rec")  # as a block that starts a file does
     recorder.close()
     found = read(tmp_path / "b.rec")
-    assert [r.lost for r in found.records if isinstance(r, Gap)] == [before]
+    assert [r.lost for r in found.records if isinstance(r, Gap)] == [pending_count]
     assert any("were dropped" in remark for remark in found.remarks)
 
 
-# Fitting.
+# Fitting the model to recordings.
 
 
-def limit_calls(
+def simulate_limited_calls(
     kind: str, rate: float, window: int, counts: bool, seconds: int = 60
 ) -> list[tuple[int, bool]]:
-    """Calls at twice the rate that a limit allows, with what it says to each."""
+    """Simulate calls at twice the rate that a limit allows.
+
+    Return the time of each and whether it is refused.
+    """
     figures = Figures(kind, rate, window, 0.0, (0, 0), counts, 1.0, 0.0, 1, 0, 0, 0, 1.0, 1, 1.0, 1, 0.0)
     limit, rng, at, calls = Limit(figures), Random(3), 0.0, []
     while at < seconds * SECOND_US:
@@ -333,16 +349,16 @@
         ("window", 6.0, 5 * SECOND_US, False),
     ],
 )
-def test_the_limit_behind_refusals_is_found(kind: str, rate: float, window: int, counts: bool) -> None:
-    calls = limit_calls(kind, rate, window, counts)
+def test_fit_finds_the_limit_that_causes_refusals(kind: str, rate: float, window: int, counts: bool) -> None:
+    calls = simulate_limited_calls(kind, rate, window, counts)
     found = fit_limit(calls)
     assert found is not None and found.kind == kind and found.rate == pytest.approx(rate, rel=0.12)
     assert kind == "rate" or found.window_us == window
     assert found.wrong < 0.15 * len(calls)
 
 
-def test_the_lists_rate_is_taken_where_it_explains_as_much() -> None:
-    """A sender that keeps to the list is refused twice a minute: that was taken for no limit at all."""
+def test_fit_prefers_the_listed_rate_if_it_explains_the_refusals_equally_well() -> None:
+    """Guards against finding no limit when a sender that keeps to the listed rate is rarely refused."""
     rng, calls, limit = (
         Random(4),
         [],
@@ -352,22 +368,29 @@
         at = int((n + 1.5 * rng.random()) / 4.05 * SECOND_US)
         calls.append((at, limit.take(at) > 0))
     assert 0 < sum(refused for _, refused in calls) < 30
-    near, far = fit_limit(calls, 4.0), fit_limit(calls, 40.0)
-    assert near is not None and near.rate == 4.0 and far is not None and far.rate < 8
+    fitted_to_listed_rate, fitted_to_other_rate = fit_limit(calls, 4.0), fit_limit(calls, 40.0)
+    assert (
+        fitted_to_listed_rate is not None
+        and fitted_to_listed_rate.rate == 4.0
+        and fitted_to_other_rate is not None
+        and fitted_to_other_rate.rate < 8
+    )
 
 
-def test_where_nothing_is_refused_there_is_no_limit() -> None:
+def test_fit_finds_no_limit_without_refusals() -> None:
     assert fit_limit([(n * 1000, False) for n in range(500)]) is None
 
 
-def test_times_are_fitted_through_stray_answers() -> None:
+def test_fit_of_response_times_ignores_outliers() -> None:
     rng = Random(2)
     times = [rng.lognormvariate(11.5, 0.4) for _ in range(2_000)] + [30e6] * 20
     mean, spread = fit_times(times)
     assert mean == pytest.approx(98_715 * 1.083, rel=0.05) and spread == pytest.approx(0.417, rel=0.1)
 
 
-def seen(*results: str, place: str = "p", each_us: int = 200_000, took_us: int = 900_000) -> list[CallSeen]:
+def calls_with_results(
+    *results: str, place: str = "p", each_us: int = 200_000, took_us: int = 900_000
+) -> list[CallSeen]:
     return [CallSeen(n * each_us, n * each_us + took_us, place, took_us, r, 0) for n, r in enumerate(results)]
 
 
@@ -375,8 +398,8 @@
     ("results", "took_us", "expected"),
     [
         (("ok", "timeout", "timeout", "timeout", "ok"), 900_000, [(200_000, 600_000, "silent")]),
-        (("ok", "error", "full", "error", "ok"), 9_000, []),  # not in a row
-        (("error", "error", "error"), 9_000, [(0, 5_000_000, "failing")]),  # to the end
+        (("ok", "error", "full", "error", "ok"), 9_000, []),  # not consecutive
+        (("error", "error", "error"), 9_000, [(0, 5_000_000, "failing")]),  # until the end of the recording
         (("ok", "reset", "connect_failed", "connect_failed", "ok"), 9_000, [(200_000, 600_000, "down")]),
         (
             ("ok", "timeout", "connect_failed", "connect_failed", "ok"),
@@ -386,21 +409,21 @@
         (("ok", "cancelled", "cancelled", "ok"), 9_000, []),
     ],
 )
-def test_outages_are_read_off_how_calls_end(
+def test_outages_are_derived_from_call_results(
     results: tuple[str, ...], took_us: int, expected: list[tuple[int, int, str]]
 ) -> None:
-    found = outages(seen(*results, took_us=took_us), [], 5 * SECOND_US)
+    found = outages(calls_with_results(*results, took_us=took_us), [], 5 * SECOND_US)
     assert found == [Outage(at, lasts, "p", state) for at, lasts, state in expected]
 
 
-def test_slow_seconds_are_joined() -> None:
+def test_consecutive_slow_seconds_form_one_span() -> None:
     calls = [CallSeen(s * SECOND_US + n, s * SECOND_US + n + (400_000 if s in (3, 4) else 100_000),
                       "p", 0, "ok", 0)
              for s in range(8) for n in range(5)]  # fmt: skip
     assert slow_spans(calls, 100_000.0) == [(3, 2, 4.0)]
 
 
-DAY = """
+SCENARIO = """
 day 20 s
 zones here apart 1 ms jitter 0 %
 senders 2 slots 12 held 100
@@ -418,45 +441,50 @@
 
 
 @pytest.fixture(scope="module")
-def recorded(tmp_path_factory: pytest.TempPathFactory) -> list[Path]:
-    """A day of the model itself, recorded by its senders: the fit must find its figures again."""
+def recorded_paths(tmp_path_factory: pytest.TempPathFactory) -> list[Path]:
+    """Recordings of a simulated day by its senders, from which the fit has to find the scenario's figures."""
     folder = tmp_path_factory.mktemp("recorded")
-    world, paths = World(parse(DAY, "day"), 5), []
+    world, paths = World(parse(SCENARIO, "day"), 5), []
     for sender in world.senders:
         paths.append(folder / f"s{sender.number}.rec")
-        recorder = Recorder(f"s{sender.number}", sender.exchange, Now(paths[-1]))  # type: ignore[arg-type]
+        recorder = Recorder(f"s{sender.number}", sender.exchange, ImmediateWriter(paths[-1]))  # type: ignore[arg-type]
         recorder.start()
     result = world.run()
     assert result["rules"] == "kept" and result["refused"] + result["failed"] + result["late"] > 0.02
     return paths
 
 
-def test_a_recorded_day_is_fitted_reproduced_and_compared(recorded: list[Path], tmp_path: Path) -> None:
-    out = tmp_path / "fitted.scenario"
-    ran = cli("calibrate", *map(str, recorded), "--out", str(out), "--runs", "4", "--json", "-")
-    document = json.loads(ran.stdout)
-    far = [row for row in document["figures"] if not row["within"]]
-    assert ran.returncode == 0 and document["reproduced"] and not far, (far, ran.stderr)
+def test_recorded_scenario_is_fitted_reproduced_and_compared(
+    recorded_paths: list[Path], tmp_path: Path
+) -> None:
+    scenario_path = tmp_path / "fitted.scenario"
+    result = cli(
+        "calibrate", *map(str, recorded_paths), "--out", str(scenario_path), "--runs", "4", "--json", "-"
+    )
+    document = json.loads(result.stdout)
+    deviating = [row for row in document["figures"] if not row["within"]]
+    assert result.returncode == 0 and document["reproduced"] and not deviating, (deviating, result.stderr)
     limits = [one["limit"][1] for one in document["fleet"] if one["limit"] is not None]
     assert limits and all(rate == pytest.approx(6, rel=0.25) for rate in limits)
-    assert "place 1 of partner 6 silent" in out.read_text()
+    assert "place 1 of partner 6 silent" in scenario_path.read_text()
     assert (
-        len(finished(timeline([read(p) for p in recorded]))) == document["arrivals"] - document["unfinished"]
+        len(finished(timeline([read(p) for p in recorded_paths])))
+        == document["arrivals"] - document["unfinished"]
     )
-    words = ("compare", str(out), "--a", "this", "--b", "this", "--runs", "2")
-    assert cli(*words).stdout.splitlines()[0].startswith("inconclusive")
-    out.write_text(out.read_text() + "# changed\n")
-    assert cli(*words).stdout.startswith("NOT REPRODUCED: the scenario was changed since")
-    out.with_suffix(".calibration.json").unlink()
-    assert cli(*words).stdout.startswith("NOT REPRODUCED: `model calibrate` has not judged")
-    recorded[0].rename(tmp_path / "moved.rec")
-    gone = cli("run", str(out))
-    (tmp_path / "moved.rec").rename(recorded[0])
+    arguments = ("compare", str(scenario_path), "--a", "this", "--b", "this", "--runs", "2")
+    assert cli(*arguments).stdout.splitlines()[0].startswith("inconclusive")
+    scenario_path.write_text(scenario_path.read_text() + "# changed\n")
+    assert cli(*arguments).stdout.startswith("NOT REPRODUCED: the scenario was changed since")
+    scenario_path.with_suffix(".calibration.json").unlink()
+    assert cli(*arguments).stdout.startswith("NOT REPRODUCED: `model calibrate` has not judged")
+    recorded_paths[0].rename(tmp_path / "moved.rec")
+    gone = cli("run", str(scenario_path))
+    (tmp_path / "moved.rec").rename(recorded_paths[0])
     assert gone.returncode == 1 and "No such file" in gone.stderr and "Traceback" not in gone.stderr
 
 
-def test_a_fit_that_is_off_is_said_to_be(
-    recorded: list[Path], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_inaccurate_fit_is_reported(
+    recorded_paths: list[Path], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     from click.testing import CliRunner
 
@@ -464,36 +492,47 @@
     from rowanrack.model.cli import model
 
     monkeypatch.setattr(fitting, "fit_times", lambda times: (900_000.0, 0.3))
-    out = tmp_path / "off.scenario"
-    ran = CliRunner().invoke(model, ["calibrate", *map(str, recorded), "--out", str(out), "--runs", "1"])
-    assert ran.exit_code == 4 and ran.output.strip().startswith("not reproduced") and "beyond" in ran.output
+    scenario_path = tmp_path / "off.scenario"
+    result = CliRunner().invoke(
+        model, ["calibrate", *map(str, recorded_paths), "--out", str(scenario_path), "--runs", "1"]
+    )
+    assert (
+        result.exit_code == 4
+        and result.output.strip().startswith("not reproduced")
+        and "beyond" in result.output
+    )
     first = (
         CliRunner()
-        .invoke(model, ["compare", str(out), "--b", "this", "--runs", "2"])
+        .invoke(model, ["compare", str(scenario_path), "--b", "this", "--runs", "2"])
         .output.strip()
         .splitlines()[0]
     )
     assert first.startswith("NOT REPRODUCED: the model is beyond its margin in")
 
 
-def test_recordings_are_shown_and_mistakes_are_plain(recorded: list[Path], tmp_path: Path) -> None:
+def test_recordings_are_shown_and_errors_take_one_line(recorded_paths: list[Path], tmp_path: Path) -> None:
     command = [sys.executable, "-m", "rowanrack", "record", "show"]
-    ran = subprocess.run(
-        [*command, "--json", *map(str, recorded)], capture_output=True, text=True, check=True
+    result = subprocess.run(
+        [*command, "--json", *map(str, recorded_paths)], capture_output=True, text=True, check=True
     )
-    assert [one["sender"] for one in json.loads(ran.stdout)] == ["s0", "s1"]
+    assert [one["sender"] for one in json.loads(result.stdout)] == ["s0", "s1"]
     (tmp_path / "a.rec").write_bytes(b"nothing")
-    for words in ((*command, str(tmp_path / "a.rec")), (*command[:3], "model", "calibrate", str(tmp_path))):
-        ran = subprocess.run(words, capture_output=True, text=True, check=False)
+    for arguments in (
+        (*command, str(tmp_path / "a.rec")),
+        (*command[:3], "model", "calibrate", str(tmp_path)),
+    ):
+        result = subprocess.run(arguments, capture_output=True, text=True, check=False)
         assert (
-            ran.returncode == 1 and "not a rowanrack recording" in ran.stderr and ran.stderr.count("\n") == 1
+            result.returncode == 1
+            and "not a rowanrack recording" in result.stderr
+            and result.stderr.count("\n") == 1
         )
 
 
-def test_the_operators_file_turns_it_on(tmp_path: Path) -> None:
+def test_operator_file_enables_recording(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
     path = tmp_path / "site.toml"
-    text = f'state = "{tmp_path / "state"}"\n{SITE}'
+    text = f'state = "{tmp_path / "state"}"\n{OPERATOR_SETTINGS}'
     path.write_text(text + '[record]\nfolder = "/tmp/x"\nmost_mb = 5\n')
     record = operator_config(path).record
     assert record is not None and (str(record.folder), record.most_bytes) == ("/tmp/x", 5_000_000)
@@ -503,18 +542,18 @@
 
 
 @pytest.mark.parametrize("form", ["plain", "json"])
-def test_the_log_is_the_same_in_both_forms(form: str) -> None:
+def test_log_has_the_same_content_in_both_formats(form: str) -> None:
     code = (
         "import logging, sys; from rowanrack import logs; logs.set_up(sys.argv[1]); "
         "print('structlog' in sys.modules)\n"
         "logging.getLogger('rowanrack.core').warning('message %s is late', 'm1')\n"
         "try: 1 / 0\nexcept ArithmeticError: logging.getLogger('x').exception('failed')"
     )
-    ran = subprocess.run([sys.executable, "-c", code, form], capture_output=True, text=True, check=True)
-    lines = ran.stderr.splitlines()
+    result = subprocess.run([sys.executable, "-c", code, form], capture_output=True, text=True, check=True)
+    lines = result.stderr.splitlines()
     if form == "plain":
-        assert lines[0].endswith(" WARNING rowanrack.core: message m1 is late") and ran.stdout == "False\n"
-        assert "Traceback" in ran.stderr
+        assert lines[0].endswith(" WARNING rowanrack.core: message m1 is late") and result.stdout == "False\n"
+        assert "Traceback" in result.stderr
         return
     first, second = map(json.loads, lines)
     assert (first["level"], first["logger"], first["event"]) == (
