--- a/rowanrack/store/journal.py
+++ b/rowanrack/store/journal.py
@@ -377,10 +377,10 @@
         """Return whether new messages are accepted. After a write error, each call checks for disk space."""
         if not self.trouble:
             return True
-        little_budget = (
+        budget_nearly_used = (
             2 * (self.size + self.pending_bytes + self._needed_bytes) + BUDGET_MARGIN_BYTES > self.budget
         )
-        if self.behind() or not self._reserve(0 if little_budget else self._needed_bytes):
+        if self.behind() or not self._reserve(0 if budget_nearly_used else self._needed_bytes):
             return False
         lasted_s = (self.unix_us() - self._trouble_since_us) / 1_000_000
         log.warning("journal: the disk has room again after %.1f s, accepting messages", lasted_s)
--- a/rowanrack/store/log_sqlite.py
+++ b/rowanrack/store/log_sqlite.py
@@ -48,8 +48,7 @@
     """,
 )
 PAGE_BYTES = 4096
-# Removing events may exceed the size limit by this, because the gaps that retention leaves take space as
-# well.
+# Removing events may exceed the size limit by this, because the gaps that retention records take space, too.
 SPARE_PAGE_COUNT = 64
 MIN_WAL_BYTES, MAX_WAL_BYTES = 128 * 1024, 8 * 1024 * 1024  # limits for the WAL's share of the space
 PRUNE_EVENT_COUNT = 5000  # most events that one transaction deletes
