--- a/rowanrack/fronts/__init__.py
+++ b/rowanrack/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The fronts: each speaks one family of protocols and hands messages to the exchange."""
+"""Protocol front ends. Each implements one family of protocols and submits messages to the exchange."""
--- a/rowanrack/fronts/otlp/__init__.py
+++ b/rowanrack/fronts/otlp/__init__.py
@@ -1,10 +1,10 @@
-"""The OTLP front: export requests from clients, and calls to OTLP servers."""
+"""The OTLP front: accepts export requests from clients and makes calls to OTLP servers."""
 
 FRONT = "otlp"
 
 
 class OtlpError(Exception):
-    """A request that is not taken as it is; the status and the text are for the client."""
+    """Raised for a request that is rejected; the status and the text are sent to the client."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
--- a/rowanrack/fronts/otlp/calls.py
+++ b/rowanrack/fronts/otlp/calls.py
@@ -1,4 +1,4 @@
-"""Calls to OTLP servers, and what their answers mean under the house's rules."""
+"""Calls to OTLP servers, and the outcome that each answer stands for."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 log = logging.getLogger(__name__)
 
-WAIT_MOST_S = 3600.0  # a longer Retry-After outlives every message that is held
+MAX_RETRY_AFTER_S = 3600.0  # longer than the deadline of any message that is held
 
 
 def retry_after_us(header: str, now: datetime) -> int:
-    """The wait that a Retry-After asks for, in seconds or as a date; 0 if it asks for none."""
+    """Parse a Retry-After header, given in seconds or as a date, into a wait; 0 if absent or malformed."""
     text = header.strip()
     if text.isascii() and text.isdigit():
         seconds = float(text[:9])
@@ -27,31 +27,35 @@
         try:
             seconds = (parsedate_to_datetime(text).astimezone(now.tzinfo) - now).total_seconds()
         except (ValueError, OverflowError):
-            # Guards a refusal against a date that no calendar holds: the attempt would count as one that ran.
+            # Raising for a date out of range would make the refused attempt count as one that may have run.
             return 0
-    return int(max(0.0, min(seconds, WAIT_MOST_S)) * 1_000_000)
+    return int(max(0.0, min(seconds, MAX_RETRY_AFTER_S)) * 1_000_000)
 
 
 class OtlpForm:
-    """OTLP/HTTP's form of a call: the export request as it was received, uncompressed."""
+    """Builds OTLP/HTTP calls, which carry the export request as received but uncompressed."""
 
     def part(self, waiting: Sequence[Attempt]) -> int:
-        """An export request is one message, so each goes in a call of its own."""
+        """Return how many attempts go in the next call: one, since an export request is one message."""
         return min(1, len(waiting))
 
     def call(self, part: Sequence[Attempt], left_us: int) -> Call:
-        """OTLP has no header for the time that the sender waits; a key goes in the usual one."""
+        """Build the call for one attempt. OTLP has no header for the time that the sender waits."""
         message = part[0].message
-        signal, _, kind = message.form.partition(" ")
-        keyed = (("Idempotency-Key", message.key),) if message.key else ()
-        return Call("POST", f"/v1/{signal}", (("Content-Type", kind), *keyed), message.body)
+        signal, _, content_type = message.form.partition(" ")
+        key_header = (("Idempotency-Key", message.key),) if message.key else ()
+        return Call("POST", f"/v1/{signal}", (("Content-Type", content_type), *key_header), message.body)
 
     def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
-        """What the one answer means."""
+        """Return the outcome of the single attempt of the call."""
         return [self._verdict(part[0], reply)]
 
     def _verdict(self, attempt: Attempt, reply: Reply) -> CallVerdict:
-        """429 and 503 are refusals; 502 and 504 may have run; what is never to be repeated is final."""
+        """Map the status to an outcome.
+
+        429 and 503 are refusals and may be retried; 502 and 504 may have run. Any other error status is
+        final, since OTLP forbids a retry, and the message fails.
+        """
         match reply.status:
             case 200:
                 self._log_partial(attempt, reply)
@@ -64,19 +68,23 @@
             case status if 500 <= status < 600:
                 return CallVerdict(Result.ERROR, end=Ending.FAILED)
             case status:
-                log.warning("%s: answered %d, message is failed", attempt.endpoint.name, status)
+                log.warning(
+                    "%s: answered %d, which must not be retried; the message has failed",
+                    attempt.endpoint.name,
+                    status,
+                )
                 return CallVerdict(Result.MOOT, end=Ending.FAILED)
 
     @staticmethod
     def _log_partial(attempt: Attempt, reply: Reply) -> None:
-        """A partial success is delivered, and must not be repeated; the operators read of it here."""
+        """Log a partial success, which counts as delivered since OTLP forbids to repeat it."""
         signal = SIGNALS["/v1/" + attempt.message.form.partition(" ")[0]]
-        kind = JSON if reply.headers.get("content-type", "").startswith(JSON) else PROTOBUF
+        content_type = JSON if reply.headers.get("content-type", "").startswith(JSON) else PROTOBUF
         try:
-            response = parse_message(signal.response(), reply.body, kind)
+            response = parse_message(signal.response(), reply.body, content_type)
         except OtlpError:
-            log.warning("%s: delivered, but the answer cannot be read", attempt.endpoint.name)
+            log.warning("%s: delivered, but the response body cannot be parsed", attempt.endpoint.name)
             return
         if response.HasField("partial_success"):
-            text = " ".join(str(getattr(response, "partial_success")).split())  # noqa: B009
-            log.warning("%s: partial success: %s", attempt.endpoint.name, text)
+            details = " ".join(str(getattr(response, "partial_success")).split())  # noqa: B009
+            log.warning("%s: partial success: %s", attempt.endpoint.name, details)
--- a/rowanrack/fronts/otlp/clients.py
+++ b/rowanrack/fronts/otlp/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side of OTLP/HTTP: an export request waits for its message's one end."""
+"""The client side of OTLP/HTTP: an export request is answered once its message has ended."""
 
 from __future__ import annotations
 
@@ -14,101 +14,113 @@
     PROTOBUF,
     SIGNALS,
     Signal,
+    decompressed_body,
     media_type,
     parse_message,
-    plain_body,
     resource_attributes,
-    write_message,
-    write_status,
+    serialize_message,
+    serialize_status,
 )
 from rowanrack.net.http import TOO_SLOW, HttpError, HttpServed, Reply, Request
 from rowanrack.net.listener import Listener, State
 from rowanrack.net.stream import Stream
 
-OWED_US = 10_000_000  # for a whole request, which may be much larger than the platform's
-SPARED_US = 2_000_000
+REQUEST_TIMEOUT_US = 10_000_000  # for receiving one request, which may be much larger than the platform's
+# A connection whose request is incomplete is closed to make room for others only after this time.
+MIN_REQUEST_AGE_BEFORE_EVICTION_US = 2_000_000
 
 
 class OtlpClients(Listener):
-    """The listener for OTLP clients."""
+    """Accepts connections of OTLP clients and answers their export requests."""
 
-    owed_us, spared_us = OWED_US, SPARED_US
+    owed_us, spared_us = REQUEST_TIMEOUT_US, MIN_REQUEST_AGE_BEFORE_EVICTION_US
     shared = True
     too_slow = TOO_SLOW
 
-    def __init__(self, exchange: Exchange, mapping: RequestMap, body_limit: int, most: int) -> None:
-        super().__init__(most, exchange)
-        self.mapping, self.limit = mapping, body_limit
+    def __init__(
+        self, exchange: Exchange, mapping: RequestMap, body_limit: int, max_connections: int
+    ) -> None:
+        super().__init__(max_connections, exchange)
+        self.mapping, self.body_limit_bytes = mapping, body_limit
         self._waiting: dict[str, list[asyncio.Future[End]]] = {}
 
     def ended(self, message: Message, end: End) -> None:
-        """The exchange's listener: whoever waits for this message is answered."""
+        """Answer every request that waits for this message. Called by the exchange when a message ends."""
         for waiter in self._waiting.pop(message.id, []):
             if not waiter.done():
                 waiter.set_result(end)
 
     async def talk(self, stream: Stream) -> None:
-        """Answer one request after the other; what is no HTTP ends the connection."""
-        served, more = HttpServed(stream, self.limit), True
-        while more:
+        """Answer the requests of one connection in turn; input that is not HTTP closes it."""
+        http, keep_alive = HttpServed(stream, self.body_limit_bytes), True
+        while keep_alive:
             try:
-                request = await served.receive(lambda: self.mark(stream, State.OWING))
-            except HttpError as bad:
-                last = served.wire(refusal(bad.status, str(bad), PROTOBUF, close=True))
-                await self.farewell(stream, last, str(bad))
+                request = await http.receive(lambda: self.mark(stream, State.OWING))
+            except HttpError as error:
+                final_answer = http.wire(error_reply(error.status, str(error), PROTOBUF, close=True))
+                await self.farewell(stream, final_answer, str(error))
                 return
             if request is None or stream.closing:
                 return
             self.mark(stream, State.BUSY)
-            more = await served.answer(await self._answer(request))
+            keep_alive = await http.answer(await self._answer(request))
             self.mark(stream, State.IDLE)
-            if served.pending:
-                self.mark(stream, State.OWING)  # guards what has been read, maybe whole, against a close
+            if http.pending:
+                # Input that is already read, perhaps a whole request, must not be lost by closing.
+                self.mark(stream, State.OWING)
             elif self.may_leave(stream):
                 return
-            await asyncio.sleep(0)  # guards the other connections against one that never pauses
+            await asyncio.sleep(0)  # lets other connections run when this one always has input
 
     async def _answer(self, request: Request) -> Reply:
-        kind = PROTOBUF
+        content_type = PROTOBUF
         try:
             signal = SIGNALS.get(request.target.partition("?")[0])
             if signal is None:
                 raise OtlpError(404, "the paths are " + ", ".join(SIGNALS))
             if request.method != "POST":
                 raise OtlpError(405, "the method is POST")
-            kind = media_type(request.headers.get("content-type", ""))
-            # Before the body is read: that costs the most. An id given or made of the body is the same when
-            # it comes again, so that a refusal denies nothing.
-            if (full := self.exchange.too_busy("")) is not None:
-                return retry_later(full.retry_us, kind)
-            message = self._read(signal, kind, request)
-        except OtlpError as bad:
-            return refusal(bad.status, str(bad), kind)
-        end = await self._end_of(message)
+            content_type = media_type(request.headers.get("content-type", ""))
+            # Checked before the body is parsed, which is the most expensive step. A retry of the request has
+            # the same id, whether given or derived from the body, so refusing it now is safe.
+            if (overload := self.exchange.too_busy("")) is not None:
+                return retry_later_reply(overload.retry_us, content_type)
+            message = self._parse_message(signal, content_type, request)
+        except OtlpError as error:
+            return error_reply(error.status, str(error), content_type)
+        end = await self._wait_for_end(message)
         match end:
             case Refusal():
-                return retry_later(end.retry_us, kind)
+                return retry_later_reply(end.retry_us, content_type)
             case End(Ending.DELIVERED):
-                return Reply(200, {"Content-Type": kind}, write_message(signal.response(), kind))
+                return Reply(
+                    200, {"Content-Type": content_type}, serialize_message(signal.response(), content_type)
+                )
             case End(Ending.REFUSED):
-                return retry_later(end.retry_us, kind)
+                return retry_later_reply(end.retry_us, content_type)
             case _:
-                return refusal(500, "given up; it may have taken effect", kind)
+                return error_reply(500, "given up; it may have taken effect", content_type)
 
-    def _read(self, signal: Signal, kind: str, request: Request) -> Message:
-        body = plain_body(request.body, request.headers.get("content-encoding", ""), self.limit)
-        export = parse_message(signal.request(), body, kind)
+    def _parse_message(self, signal: Signal, content_type: str, request: Request) -> Message:
+        body = decompressed_body(
+            request.body, request.headers.get("content-encoding", ""), self.body_limit_bytes
+        )
+        export = parse_message(signal.request(), body, content_type)
         return self.mapping.message(
             self.exchange.settings,
             request.headers,
             resource_attributes(signal, export),
             body,
-            f"{signal.name} {kind}",
+            f"{signal.name} {content_type}",
             self.exchange.clock.unix_us(),
         )
 
-    async def _end_of(self, message: Message) -> End | Refusal:
-        """The one end of a message: kept from before, awaited with others, or of a new message."""
+    async def _wait_for_end(self, message: Message) -> End | Refusal:
+        """Return the end of a message, which is submitted unless it is known already.
+
+        A message that has ended is answered from the stored end; requests with the same message id wait for
+        the same end.
+        """
         known = self.exchange.known(message.id)
         if isinstance(known, End):
             return known
@@ -119,16 +131,16 @@
         return await waiter
 
 
-def refusal(status: int, text: str, kind: str, close: bool = False) -> Reply:
-    """An answer with a google.rpc.Status."""
-    headers = {"Content-Type": kind if kind == JSON else PROTOBUF}
+def error_reply(status: int, text: str, content_type: str, close: bool = False) -> Reply:
+    """Build an error reply whose body is a google.rpc.Status."""
+    headers = {"Content-Type": content_type if content_type == JSON else PROTOBUF}
     if close:
         headers["Connection"] = "close"
-    return Reply(status, headers, write_status(status, text, kind))
+    return Reply(status, headers, serialize_status(status, text, content_type))
 
 
-def retry_later(retry_us: int, kind: str) -> Reply:
-    """503 with the time after which handing it in again is harmless, in whole seconds as HTTP has it."""
+def retry_later_reply(retry_us: int, content_type: str) -> Reply:
+    """Build a 503 with the wait after which a retry is safe in Retry-After, rounded up to whole seconds."""
     seconds = max(1, math.ceil(retry_us / 1_000_000))
-    reply = refusal(503, "refused; come again later", kind)
+    reply = error_reply(503, "refused; come again later", content_type)
     return Reply(503, {**reply.headers, "Retry-After": str(seconds)}, reply.body)
--- a/rowanrack/fronts/otlp/mapping.py
+++ b/rowanrack/fronts/otlp/mapping.py
@@ -1,4 +1,4 @@
-"""How an export request becomes a message: class, tenant, destination and id, as the operator's file says."""
+"""Maps an export request to a message: its class, tenant, destination and id, as the site file configures."""
 
 from __future__ import annotations
 
@@ -10,19 +10,22 @@
 from rowanrack.fronts.otlp import FRONT, OtlpError
 from rowanspindle import Effect, Settings
 
-ID_MOST = 256
+MAX_ID_LENGTH = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Where one value comes from: a header first, then a resource attribute, then a default."""
+    """Where a value is looked up: a request header, then a resource attribute, then a default."""
 
     header: str = ""
     attribute: str = ""
     default: str = ""
 
     def find(self, headers: Mapping[str, str], attributes: Mapping[str, set[str]]) -> str:
-        """The value, or '' if there is none. A request is one message, so its resources must agree."""
+        """Return the value, or '' if there is none.
+
+        A request is one message, so all its resources must have the same value; else OtlpError is raised.
+        """
         if self.header and (value := headers.get(self.header.lower())):
             return value
         values = attributes.get(self.attribute, set())
@@ -33,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMap:
-    """The operator's mapping."""
+    """The configured lookup of each message field."""
 
     cls: Source
     tenant: Source
@@ -47,14 +50,14 @@
         self,
         settings: Settings,
         headers: Mapping[str, str],
-        pairs: Iterable[tuple[str, str]],
+        attribute_pairs: Iterable[tuple[str, str]],
         body: bytes,
         form: str,
         now_unix_us: int,
     ) -> Message:
-        """The message that a request stands for. Raises OtlpError if the mapping finds none."""
+        """Build the message for a request. Raises OtlpError if a value is missing or invalid."""
         attributes: dict[str, set[str]] = {}
-        for name, value in pairs:
+        for name, value in attribute_pairs:
             attributes.setdefault(name, set()).add(value)
         cls = self.cls.find(headers, attributes)
         if cls not in settings.classes:
@@ -62,29 +65,34 @@
         tenant = self.tenant.find(headers, attributes)
         if tenant and settings.tenants and tenant not in settings.tenants:
             raise OtlpError(400, f"unknown tenant {tenant[:32]!r}")
-        named = self.destination.find(headers, attributes)
-        dest = self.destinations.get(named, int(named) if named.isascii() and named.isdigit() else -1)
+        destination_name = self.destination.find(headers, attributes)
+        dest = self.destinations.get(
+            destination_name,
+            int(destination_name) if destination_name.isascii() and destination_name.isdigit() else -1,
+        )
         if not 0 <= dest < 1 << 62:
-            raise OtlpError(400, f"unknown destination {named[:32]!r}")
-        left = self.left_ms.find(headers, attributes)
-        if left and not (left.isascii() and left.isdigit() and len(left) < 9):
+            raise OtlpError(400, f"unknown destination {destination_name[:32]!r}")
+        left_ms_text = self.left_ms.find(headers, attributes)
+        if left_ms_text and not (left_ms_text.isascii() and left_ms_text.isdigit() and len(left_ms_text) < 9):
             raise OtlpError(400, "the time left must be milliseconds")
-        left_us = min(int(left) * 1000 if left else NO_LIMIT, settings.classes[cls].deadline_us)
-        message_id = self.id.find(headers, attributes) or digest(tenant, body)
-        if len(message_id) > ID_MOST or not message_id.isprintable():
+        left_us = min(
+            int(left_ms_text) * 1000 if left_ms_text else NO_DEADLINE_US, settings.classes[cls].deadline_us
+        )
+        message_id = self.id.find(headers, attributes) or derive_id(tenant, body)
+        if len(message_id) > MAX_ID_LENGTH or not message_id.isprintable():
             raise OtlpError(400, "bad id")
         key = self.key.find(headers, attributes)
         if not key and settings.classes[cls].effect is Effect.KEYED:
-            # The same request is the same message, and its repeat the one to be dropped.
-            key = message_id if HEADER_SAFE.fullmatch(message_id) else digest(tenant, message_id.encode())
+            # A repeated request has the same id, so the destination can drop it as a duplicate.
+            key = message_id if HEADER_SAFE.fullmatch(message_id) else derive_id(tenant, message_id.encode())
         if key and not HEADER_SAFE.fullmatch(key):
             raise OtlpError(400, "bad key")
         return Message(message_id, cls, tenant, dest, now_unix_us + left_us, body, FRONT, form, key)
 
 
-NO_LIMIT = 1 << 62
+NO_DEADLINE_US = 1 << 62
 
 
-def digest(tenant: str, body: bytes) -> str:
-    """The id of a request that names none: the same tenant and body are the same message."""
+def derive_id(tenant: str, body: bytes) -> str:
+    """Derive an id for a request without one, so that requests of equal tenant and body are one message."""
     return hashlib.sha256(tenant.encode() + b"\0" + body).hexdigest()[:32]
--- a/rowanrack/fronts/otlp/signals.py
+++ b/rowanrack/fronts/otlp/signals.py
@@ -1,7 +1,7 @@
-"""OTLP's three signals: their paths, their messages, and both encodings of them.
+"""The three OTLP signals (logs, traces, metrics): paths, request and response types, and both encodings.
 
-From the public specification: protobuf or JSON; in JSON the trace and span ids are hex digits, enumerations
-are numbers, and unknown fields are skipped.
+OTLP allows protobuf and JSON. In its JSON form trace and span ids are hexadecimal, enumerations are numbers,
+and unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Signal:
-    """One signal: its name in the path, its request's list of resources, and its two messages."""
+    """One signal: its name in the path, the request field that lists resources, and its message types."""
 
     name: str
-    resources: str
+    resources_field: str
     request: type[Message]
     response: type[Message]
 
     @property
     def path(self) -> str:
-        """Where it is posted."""
+        """The URL path to which requests of this signal are posted."""
         return f"/v1/{self.name}"
 
 
 SIGNALS = {
-    s.path: s
-    for s in (
+    signal.path: signal
+    for signal in (
         Signal(
             "logs",
             "resource_logs",
@@ -67,35 +67,35 @@
 
 
 def media_type(header: str) -> str:
-    """The encoding that a Content-Type names. Raises OtlpError on any other."""
-    kind = header.split(";", 1)[0].strip().lower()
-    if kind not in (PROTOBUF, JSON):
+    """Return the media type of a Content-Type header. Raises OtlpError if it is not a supported one."""
+    content_type = header.split(";", 1)[0].strip().lower()
+    if content_type not in (PROTOBUF, JSON):
         raise OtlpError(415, f"Content-Type must be {PROTOBUF} or {JSON}")
-    return kind
+    return content_type
 
 
-def plain_body(body: bytes, encoding: str, limit: int) -> bytes:
-    """The body without its compression, which may not grow past the limit."""
+def decompressed_body(body: bytes, encoding: str, limit_bytes: int) -> bytes:
+    """Return the decompressed body. Raises OtlpError if it is larger than the limit."""
     encoding = encoding.strip().lower()
     if encoding in ("", "identity"):
         return body
     if encoding != "gzip":
         raise OtlpError(415, "Content-Encoding must be gzip or identity")
-    unpacker = zlib.decompressobj(wbits=31)
+    decompressor = zlib.decompressobj(wbits=31)
     try:
-        # Guards against a small body that unpacks to gigabytes.
-        plain = unpacker.decompress(body, limit + 1)
+        # The limit protects against a small body that decompresses to gigabytes.
+        decompressed = decompressor.decompress(body, limit_bytes + 1)
     except zlib.error:
         raise OtlpError(400, "the body is no gzip") from None
-    if len(plain) > limit:
-        raise OtlpError(413, f"the body is larger than {limit} bytes")
-    if not unpacker.eof:
+    if len(decompressed) > limit_bytes:
+        raise OtlpError(413, f"the body is larger than {limit_bytes} bytes")
+    if not decompressor.eof:
         raise OtlpError(400, "the gzip body is cut off")
-    return plain
+    return decompressed
 
 
 def _ids_from_hex(node: Any) -> Any:
-    """The same JSON with ids in base64, as protobuf's own JSON has them."""
+    """Convert hexadecimal ids to base64, which the protobuf JSON mapping expects."""
     if isinstance(node, list):
         return [_ids_from_hex(item) for item in node]
     if not isinstance(node, dict):
@@ -108,32 +108,32 @@
     }
 
 
-UNREADABLE = (
+PARSE_ERRORS = (
     DecodeError,
     json_format.ParseError,
     ValueError,
     TypeError,
     AttributeError,
     RecursionError,
-    SystemError,  # protobuf's C code, on a name with half of a surrogate pair
+    SystemError,  # raised by the protobuf C extension for a name with an unpaired surrogate
 )
 
 
-def parse_message(into: Message, body: bytes, kind: str) -> Message:
-    """Read a message in either encoding. Raises OtlpError if it cannot be read."""
+def parse_message(into: Message, body: bytes, content_type: str) -> Message:
+    """Parse a body of the given media type into `into`. Raises OtlpError if it is malformed."""
     try:
-        if kind == JSON:
+        if content_type == JSON:
             json_format.ParseDict(_ids_from_hex(json.loads(body)), into, ignore_unknown_fields=True)
         else:
             into.ParseFromString(body)
-    except UNREADABLE:
+    except PARSE_ERRORS:
         raise OtlpError(400, "the body cannot be read") from None
     return into
 
 
-def write_message(message: Message, kind: str) -> bytes:
-    """A message in either encoding."""
-    if kind == JSON:
+def serialize_message(message: Message, content_type: str) -> bytes:
+    """Serialize a message in the given media type."""
+    if content_type == JSON:
         return json_format.MessageToJson(message, indent=None).encode()
     return message.SerializeToString()
 
@@ -146,16 +146,16 @@
 }
 
 
-def write_status(status: int, text: str, kind: str) -> bytes:
-    """The google.rpc.Status that goes with an HTTP status."""
+def serialize_status(status: int, text: str, content_type: str) -> bytes:
+    """Serialize the google.rpc.Status that corresponds to an HTTP status."""
     code = STATUS_CODES.get(status, code_pb2.INVALID_ARGUMENT)
-    return write_message(status_pb2.Status(code=code, message=text), kind)
+    return serialize_message(status_pb2.Status(code=code, message=text), content_type)
 
 
 def resource_attributes(signal: Signal, request: Message) -> Iterator[tuple[str, str]]:
-    """Names and values of all resources' attributes that are texts, numbers or bools."""
-    for item in getattr(request, signal.resources):
-        for pair in item.resource.attributes:
-            which = pair.value.WhichOneof("value")
-            if which in ("string_value", "int_value", "bool_value", "double_value"):
-                yield pair.key, str(getattr(pair.value, which))
+    """Yield the name and value of every resource attribute that is a string, number or boolean."""
+    for resource_entry in getattr(request, signal.resources_field):
+        for attribute in resource_entry.resource.attributes:
+            value_field = attribute.value.WhichOneof("value")
+            if value_field in ("string_value", "int_value", "bool_value", "double_value"):
+                yield attribute.key, str(getattr(attribute.value, value_field))
--- a/tests/test_otlp.py
+++ b/tests/test_otlp.py
@@ -22,7 +22,14 @@
 from rowanrack.core.messages import Ending
 from rowanrack.fronts.otlp import OtlpError
 from rowanrack.fronts.otlp.calls import retry_after_us
-from rowanrack.fronts.otlp.signals import JSON, PROTOBUF, SIGNALS, media_type, parse_message, plain_body
+from rowanrack.fronts.otlp.signals import (
+    JSON,
+    PROTOBUF,
+    SIGNALS,
+    decompressed_body,
+    media_type,
+    parse_message,
+)
 from rowanrack.net.http import Call, HttpCaller, Reply
 from rowanspindle import UpdateScope
 from tests.rig import Rig, after, answers, on_loop, silent
@@ -275,6 +282,6 @@
 
 def test_encodings_are_known_by_name() -> None:
     assert media_type("application/json; charset=utf-8") == JSON
-    assert plain_body(b"x", "Identity", 9) == b"x"
+    assert decompressed_body(b"x", "Identity", 9) == b"x"
     with pytest.raises(OtlpError):
         media_type("")
