--- a/rowanrack/console/server.py
+++ b/rowanrack/console/server.py
@@ -1,4 +1,4 @@
-"""The running sender's end of the console's socket: a snapshot as a JSON line, twice a second."""
+"""The server side of the console: sends a snapshot as a line of JSON twice per second."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import pause
 
-EVERY_US = 500_000
-VIEWERS_MOST = 4
+SNAPSHOT_INTERVAL_US = 500_000
+MAX_VIEWERS = 4
 
 
 class ConsoleServer(Listener):
-    """Shows the sender to whoever may open the socket's file; it takes no input."""
+    """Sends snapshots to every viewer that may open the socket file. Input is not read."""
 
     def __init__(self, name: str, exchange: Exchange) -> None:
-        super().__init__(VIEWERS_MOST, exchange)
+        super().__init__(MAX_VIEWERS, exchange)
         self.name = name
 
     async def listen_at(self, path: Path) -> None:
-        """Open the socket, for the sender's own user only. What a killed sender left there is replaced."""
+        """Listen on a socket that only the user of the sender may open; a stale socket file is replaced."""
         with suppress(FileNotFoundError):
             if stat.S_ISSOCK(path.lstat().st_mode):
                 path.unlink()
-        mask = os.umask(0o177)
+        previous_umask = os.umask(0o177)
         try:
-            opened = socket.socket(socket.AF_UNIX)
+            server_socket = socket.socket(socket.AF_UNIX)
             try:
-                opened.bind(str(path))
+                server_socket.bind(str(path))
             except OSError:
-                opened.close()
+                server_socket.close()
                 raise
-            self.serve_on(opened)
+            self.serve_on(server_socket)
         finally:
-            os.umask(mask)
+            os.umask(previous_umask)
 
     async def talk(self, stream: Stream) -> None:
-        """One line after the other, until the viewer leaves."""
+        """Send snapshots until the viewer disconnects."""
         self.mark(stream, State.BUSY)
         while True:
             await stream.send(json.dumps(snapshot(self.name, self.exchange)).encode() + b"\n")
-            await pause(self.exchange.after, EVERY_US)
+            await pause(self.exchange.after, SNAPSHOT_INTERVAL_US)
--- a/rowanrack/console/snapshot.py
+++ b/rowanrack/console/snapshot.py
@@ -1,4 +1,4 @@
-"""What the console shows: queues, windows and waits, as plain values. Reading changes nothing."""
+"""Builds the console's snapshot of queues, windows and waits as plain values, without changing any state."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 from rowanspindle.logic import Destination, Endpoint
 
 
-def endpoint_state(endpoint: Endpoint, now: int) -> str:
-    """One word for an instance's state."""
+def endpoint_state(endpoint: Endpoint, now_us: int) -> str:
+    """Return the state of an endpoint as a short text."""
     if not endpoint.listed:
         return "draining"
     if endpoint.out_since is not None:
         return "outage"
-    if endpoint.ramp_from is not None and now - endpoint.ramp_from < endpoint.settings.ramp_us:
+    if endpoint.ramp_from is not None and now_us - endpoint.ramp_from < endpoint.settings.ramp_us:
         return "slow start"
     return "open"
 
 
-def destination_row(number: int, destination: Destination, now: int) -> dict[str, Any]:
-    """One destination with its instances."""
-    gate = destination.shared_limit
+def destination_row(dest: int, destination: Destination, now_us: int) -> dict[str, Any]:
+    """Build the row of a destination with its endpoints."""
+    shared_limit = destination.shared_limit
     return {
-        "dest": number,
+        "dest": dest,
         "held": len(destination.held),
-        "oldest_s": max(0, now - destination.held.since) / 1e6 if destination.held else 0.0,
-        "wait_s": max(0, gate.opens_at - now) / 1e6 if gate is not None else 0.0,
-        "window": gate.window.size if gate is not None else 0.0,
-        "out": len(gate.calls) if gate is not None else 0,
-        "rate": gate.weight if gate is not None else 0.0,
-        "pace": gate.pace if gate is not None else None,
+        "oldest_s": max(0, now_us - destination.held.since) / 1e6 if destination.held else 0.0,
+        "wait_s": max(0, shared_limit.opens_at - now_us) / 1e6 if shared_limit is not None else 0.0,
+        "window": shared_limit.window.size if shared_limit is not None else 0.0,
+        "out": len(shared_limit.calls) if shared_limit is not None else 0,
+        "rate": shared_limit.weight if shared_limit is not None else 0.0,
+        "pace": shared_limit.pace if shared_limit is not None else None,
         "instances": [
             {
-                "name": e.target,
-                "state": endpoint_state(e, now),
-                "window": e.window.size,
-                "out": len(e.calls),
-                "usual_ms": e.usual.mean / 1000,
+                "name": endpoint.target,
+                "state": endpoint_state(endpoint, now_us),
+                "window": endpoint.window.size,
+                "out": len(endpoint.calls),
+                "usual_ms": endpoint.usual.mean / 1000,
             }
-            for e in destination.endpoints.values()
+            for endpoint in destination.endpoints.values()
         ],
     }
 
 
 def snapshot(name: str, exchange: Exchange) -> dict[str, Any]:
-    """The whole view at this moment."""
-    now, forwarder = exchange.clock.now_us(), exchange.forwarder
+    """Build the snapshot of the sender at this moment."""
+    now_us, forwarder = exchange.clock.now_us(), exchange.forwarder
     return {
         "name": name,
         "owed": len(exchange.messages),
@@ -54,5 +54,5 @@
         "out": len(forwarder.calls),
         "slots": exchange.settings.slots,
         "ends": {ending.value: count for ending, count in exchange.counts.items()},
-        "destinations": [destination_row(n, d, now) for n, d in sorted(forwarder.destinations.items())],
+        "destinations": [destination_row(n, d, now_us) for n, d in sorted(forwarder.destinations.items())],
     }
--- a/rowanrack/console/view.py
+++ b/rowanrack/console/view.py
@@ -1,4 +1,4 @@
-"""The terminal's end of the console."""
+"""The terminal side of the console: reads snapshots and renders them as a table."""
 
 from __future__ import annotations
 
@@ -14,36 +14,37 @@
 
 
 class ConsoleError(Exception):
-    """The sender cannot be seen; the text says why."""
+    """Raised when no snapshot can be read; the text says why."""
 
 
 def snapshots(path: Path) -> Iterator[dict[str, Any]]:
-    """What a running sender shows, one after the other."""
-    with socket.socket(socket.AF_UNIX) as line:
+    """Yield the snapshots of a running sender. Raises ConsoleError."""
+    with socket.socket(socket.AF_UNIX) as connection:
         try:
-            line.connect(str(path))
-            with line.makefile("r", encoding="utf-8") as lines:
+            connection.connect(str(path))
+            with connection.makefile("r", encoding="utf-8") as lines:
                 for text in lines:
                     yield json.loads(text)
         except OSError as error:
             raise ConsoleError(f"{path}: {error.strerror or error}") from None
         except ValueError:
-            raise ConsoleError(f"{path}: does not speak as a sender") from None
+            raise ConsoleError(f"{path}: the answer is not a snapshot of a sender") from None
 
 
-STYLES = {"outage": "red", "slow start": "yellow", "draining": "dim", "open": "green"}
+STYLE_BY_STATE = {"outage": "red", "slow start": "yellow", "draining": "dim", "open": "green"}
 
 
-def render(view: dict[str, Any]) -> RenderableType:
-    """One frame."""
-    ends = "  ".join(f"{name} {count}" for name, count in view["ends"].items())
-    head = Text(
-        f"{view['name']}  owed {view['owed']}/{view['most_held']}  out {view['out']}/{view['slots']}  {ends}"
+def render(snapshot: dict[str, Any]) -> RenderableType:
+    """Render one snapshot."""
+    end_counts = "  ".join(f"{name} {count}" for name, count in snapshot["ends"].items())
+    header = Text(
+        f"{snapshot['name']}  owed {snapshot['owed']}/{snapshot['most_held']}"
+        f"  out {snapshot['out']}/{snapshot['slots']}  {end_counts}"
     )
     table = Table(expand=True)
     for title in ("dest", "held", "oldest", "wait", "window", "rate", "pace", "instance", "state", "usual"):
         table.add_column(title, justify="left" if title in ("instance", "state") else "right")
-    for row in view["destinations"]:
+    for row in snapshot["destinations"]:
         pace = "-" if row["pace"] is None else f"{row['pace']:.1f}/s"
         cells = [
             str(row["dest"]),
@@ -54,12 +55,14 @@
             f"{row['rate']:.1f}/s",
             pace,
         ]
-        for place in row["instances"] or [None]:
-            if place is None:
+        for endpoint in row["instances"] or [None]:
+            if endpoint is None:
                 table.add_row(*cells, "-", "-", "-")
                 continue
-            label = f"{place['name']} {place['out']}/{place['window']:.1f}"
-            state = Text(place["state"], STYLES[place["state"]])
-            table.add_row(*cells, label, state, f"{place['usual_ms']:.0f} ms" if place["usual_ms"] else "-")
+            label = f"{endpoint['name']} {endpoint['out']}/{endpoint['window']:.1f}"
+            state = Text(endpoint["state"], STYLE_BY_STATE[endpoint["state"]])
+            table.add_row(
+                *cells, label, state, f"{endpoint['usual_ms']:.0f} ms" if endpoint["usual_ms"] else "-"
+            )
             cells = [""] * len(cells)
-    return Group(head, table)
+    return Group(header, table)
--- a/rowanrack/consul.py
+++ b/rowanrack/consul.py
@@ -1,7 +1,8 @@
-"""Consul as a source of the name table: blocking queries on its catalogue and health API.
+"""Consul as a source of the endpoint list: blocking queries on its catalogue and health APIs.
 
-Every service that is named, or that carries the tag, is watched by a query of its own. An instance's meta
-tells what Consul itself has no field for: `dest`, `kind` and `rate`, and `zone` if it is not the datacentre.
+Each service that is configured by name, or that carries the configured tag, is watched by a blocking query.
+Service metadata provide what Consul has no field for: `dest`, `kind` and `rate`, and `zone` if it differs
+from the datacentre.
 """
 
 from __future__ import annotations
@@ -22,47 +23,50 @@
 
 log = logging.getLogger(__name__)
 
-WAIT_S = 60  # for which a query may block
-ANSWER_US = 2_000_000  # for an answer that Consul need not wait for; it adds up to a sixteenth to a wait
-# After a failure: twice, and with one more query between that falls silent, news are known within 6 s.
-RETRY_LEAST_US, RETRY_MOST_US = 500_000, 1_750_000
-LIST_LIMIT = 4 << 20
-RESET_US = 100_000  # before the query from the start behind an index that went backwards
-MAINTENANCE = ("_node_maintenance", "_service_maintenance")
+BLOCKING_WAIT_S = 60  # how long a query may block
+ANSWER_GRACE_US = 2_000_000  # for an answer beyond the time that the query may block
+# Two retries, even with one query between them that gets no answer, make a change known within 6 s.
+MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US = 500_000, 1_750_000
+MAX_LIST_BYTES = 4 << 20
+INDEX_RESET_DELAY_US = 100_000  # before the query that starts again after the index went backwards
+MAINTENANCE_CHECK_PREFIXES = ("_node_maintenance", "_service_maintenance")
 
 
 class ConsulError(ValueError):
-    """An answer that cannot be used."""
+    """Raised for an answer that cannot be used."""
 
 
-def next_index(last: int, header: str) -> int:
-    """The index of the next query: Consul's, but from the start again (0) should it have gone backwards.
+def next_index(previous_index: int, header: str) -> int:
+    """Return the index for the next query: the one in the header, or 0 to start again if it went backwards.
 
-    An index of 0 would not block, so a first answer without a good one is followed by 1.
+    A query with index 0 does not block, so 1 is used if the first answer has no positive index.
     """
     if not header.isascii() or not header.isdigit():
-        raise ConsulError("no X-Consul-Index")
+        raise ConsulError("the answer has no valid X-Consul-Index header")
     index = int(header)
-    return 0 if index < last else max(1, index)
+    return 0 if index < previous_index else max(1, index)
 
 
 def status_of(checks: list[dict[str, Any]]) -> EndpointStatus:
-    """Maintenance means that nothing new is wanted, and a critical check says the same."""
+    """Return the status of an endpoint: draining if it is in maintenance or a check is critical."""
     for check in checks:
-        if str(check.get("CheckID", "")).startswith(MAINTENANCE) or check.get("Status") == "critical":
+        if (
+            str(check.get("CheckID", "")).startswith(MAINTENANCE_CHECK_PREFIXES)
+            or check.get("Status") == "critical"
+        ):
             return EndpointStatus.DRAINING
     return EndpointStatus.LISTED
 
 
-def read_instance(item: dict[str, Any]) -> Endpoint:
-    """One entry of a health query."""
+def parse_endpoint(item: dict[str, Any]) -> Endpoint:
+    """Parse one entry of the answer to a health query."""
     service, node = item["Service"], item["Node"]
     meta = service.get("Meta") or {}
     port, rate = int(service["Port"]), float(meta["rate"])
     if not 0 < port < 65536:
-        raise ValueError(f"port: {port}")
+        raise ValueError(f"port out of range: {port}")
     if not math.isfinite(rate) or rate < 0:
-        raise ValueError(f"rate: {rate}")
+        raise ValueError(f"rate must be finite and not negative: {rate}")
     return Endpoint(
         name=f"{node['Node']}/{service['ID']}",
         host=str(service.get("Address") or node["Address"]),
@@ -75,99 +79,109 @@
     )
 
 
-def read_instances(doc: Any, lines: RareLog | logging.Logger = log) -> list[Endpoint]:
-    """The entries of a health query; one without its meta is logged and left out."""
-    if not isinstance(doc, list):
-        raise ConsulError("not a list of instances")
-    listed = []
-    for item in doc:
+def parse_endpoints(document: Any, skip_warnings: RareLog | logging.Logger = log) -> list[Endpoint]:
+    """Parse the answer to a health query. Malformed entries and those without metadata are skipped."""
+    if not isinstance(document, list):
+        raise ConsulError("not a list of endpoints")
+    endpoints = []
+    for item in document:
         try:
-            listed.append(read_instance(item))
+            endpoints.append(parse_endpoint(item))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            lines.warning("consul: an instance is left out, bad or missing %s", error)
-    return listed
+            skip_warnings.warning("consul: an endpoint is left out, missing or invalid field: %s", error)
+    return endpoints
 
 
 class ConsulSource:
-    """The tasks that follow Consul, for as long as the sender runs."""
+    """Watches Consul and updates the endpoint list for as long as the sender runs."""
 
     def __init__(
         self, exchange: Exchange, address: tuple[str, int], services: tuple[str, ...], tag: str
     ) -> None:
         self.exchange, self.address, self.tag = exchange, address, tag
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._catalogue: asyncio.Task[None] | None = None
-        self._named = services
-        self._rare, self._rare_out = (
-            RareLog(log),
-            RareLog(log),
-        )  # of answers, and of entries that are left out
+        self._catalogue_task: asyncio.Task[None] | None = None
+        self._configured_services = services
+        # Rate-limited logs: of failed queries, and of entries that are left out.
+        self._query_warnings, self._skip_warnings = RareLog(log), RareLog(log)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start watching."""
         if self.tag:
-            self._catalogue = asyncio.create_task(
-                self._follow("/v1/catalog/services?", "the catalogue", self._services)
+            self._catalogue_task = asyncio.create_task(
+                self._watch_path("/v1/catalog/services?", "the catalogue", self._apply_catalogue)
             )
-        self._watch(set(self._named))
+        self._watch_services(set(self._configured_services))
 
     def close(self) -> None:
-        """Stop following."""
-        for task in (self._catalogue, *self._tasks.values()):
+        """Stop watching."""
+        for task in (self._catalogue_task, *self._tasks.values()):
             if task is not None:
                 task.cancel()
 
-    def _services(self, doc: Any) -> None:
-        """The catalogue's services and their tags."""
-        if not isinstance(doc, dict):
-            raise ConsulError("not a list of services")
-        self._watch({name for name, tags in doc.items() if self.tag in (tags or [])})
+    def _apply_catalogue(self, document: Any) -> None:
+        """Apply an answer of the catalogue: watch the services that carry the tag."""
+        if not isinstance(document, dict):
+            raise ConsulError("not a map of services to tags")
+        self._watch_services({name for name, tags in document.items() if self.tag in (tags or [])})
 
-    def _watch(self, services: set[str]) -> None:
+    def _watch_services(self, services: set[str]) -> None:
         for name in sorted(self._tasks.keys() - services):
             self._tasks.pop(name).cancel()
             self.exchange.list_instances(UpdateScope.FULL, (), f"consul {name}")
         for name in sorted(services - self._tasks.keys()):
             path = f"/v1/health/service/{quote(name, safe='')}?"
-            self._tasks[name] = asyncio.create_task(self._follow(path, name, self._lister(name)))
+            self._tasks[name] = asyncio.create_task(
+                self._watch_path(path, name, self._endpoint_handler(name))
+            )
 
-    def _lister(self, name: str) -> Callable[[Any], None]:
-        def take(doc: Any) -> None:
+    def _endpoint_handler(self, name: str) -> Callable[[Any], None]:
+        def handle_answer(document: Any) -> None:
             self.exchange.list_instances(
-                UpdateScope.FULL, read_instances(doc, self._rare_out), f"consul {name}"
+                UpdateScope.FULL, parse_endpoints(document, self._skip_warnings), f"consul {name}"
             )
 
-        return take
+        return handle_answer
 
-    async def _follow(self, path: str, what: str, take: Callable[[Any], None]) -> None:
-        """One blocking query after the other; after a failure again, from the start and a little later."""
-        line, index, retry_us = HttpLine(self.exchange.after, *self.address, LIST_LIMIT), 0, RETRY_LEAST_US
+    async def _watch_path(self, path: str, subject: str, handle_answer: Callable[[Any], None]) -> None:
+        """Make one blocking query after another; after a failure, start again from index 0 with back-off."""
+        http, index, retry_delay_us = (
+            HttpLine(self.exchange.after, *self.address, MAX_LIST_BYTES),
+            0,
+            MIN_RETRY_DELAY_US,
+        )
         try:
             while True:
-                last, asked_at = index, self.exchange.clock.now_us()
+                previous_index, asked_at_us = index, self.exchange.clock.now_us()
                 try:
-                    index, doc = await self._ask(line, path, index)
+                    index, document = await self._query(http, path, index)
                     if index:
-                        take(doc)
+                        handle_answer(document)
                 except (*FAILURES, ConsulError) as error:
-                    self._rare.warning("consul: %s: %s", what, str(error) or type(error).__name__)
+                    self._query_warnings.warning(
+                        "consul: the query for %s failed: %s", subject, str(error) or type(error).__name__
+                    )
                 except Exception:
-                    log.exception("consul: %s", what)  # a defect must not end the watch
+                    # Caught so that a defect does not end the watch.
+                    log.exception("consul: the query for %s failed unexpectedly", subject)
                 else:
-                    retry_us = RETRY_LEAST_US
-                    # Guards the agent, and this core, against answers that do not wait, or go up and down.
-                    early = self.exchange.clock.now_us() - asked_at < WAIT_S * 1_000_000
-                    if early and index in (0, last):
-                        await pause(self.exchange.after, RETRY_LEAST_US if index else RESET_US)
+                    retry_delay_us = MIN_RETRY_DELAY_US
+                    # Avoids a busy loop if the agent answers without blocking or its index goes up and down.
+                    answered_early = self.exchange.clock.now_us() - asked_at_us < BLOCKING_WAIT_S * 1_000_000
+                    if answered_early and index in (0, previous_index):
+                        await pause(
+                            self.exchange.after, MIN_RETRY_DELAY_US if index else INDEX_RESET_DELAY_US
+                        )
                     continue
                 index = 0
-                await pause(self.exchange.after, retry_us)
-                retry_us = min(2 * retry_us, RETRY_MOST_US)
+                await pause(self.exchange.after, retry_delay_us)
+                retry_delay_us = min(2 * retry_delay_us, MAX_RETRY_DELAY_US)
         finally:
-            line.close()
-
-    async def _ask(self, line: HttpLine, path: str, index: int) -> tuple[int, Any]:
-        wait_us = WAIT_S * 1_000_000 * 17 // 16 if index else 0  # from the start it answers at once
-        async with time_limit(self.exchange.after, wait_us + ANSWER_US):
-            headers, doc = await line.get_json(f"{path}index={index}&wait={WAIT_S}s")
-        return next_index(index, headers.get("x-consul-index", "")), doc
+            http.close()
+
+    async def _query(self, http: HttpLine, path: str, index: int) -> tuple[int, Any]:
+        # A query with index 0 does not block; Consul adds up to a sixteenth to the wait of others.
+        wait_us = BLOCKING_WAIT_S * 1_000_000 * 17 // 16 if index else 0
+        async with time_limit(self.exchange.after, wait_us + ANSWER_GRACE_US):
+            headers, document = await http.get_json(f"{path}index={index}&wait={BLOCKING_WAIT_S}s")
+        return next_index(index, headers.get("x-consul-index", "")), document
--- a/rowanrack/fronts/mgmt/__init__.py
+++ b/rowanrack/fronts/mgmt/__init__.py
@@ -1,5 +1,5 @@
-"""The management front: operators' calls over HTTP/1.1, one call a connection.
+"""The management front: operators' calls over HTTP/1.1, one call per connection.
 
-It owns the paths and their answers (`calls`, no I/O) and the listener that serves them (`server`).
-What a call changes is done by the sender's parts through the `Operations` port.
+`calls` defines the paths and their answers, without I/O, and `server` the listener that serves them. Changes
+to the sender are made through the `Operations` protocol.
 """
--- a/rowanrack/fronts/mgmt/calls.py
+++ b/rowanrack/fronts/mgmt/calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls and their answers, without I/O: a request in, a reply out."""
+"""Handlers of the operators' calls, without I/O of their own: each maps a request to a reply."""
 
 from __future__ import annotations
 
@@ -7,109 +7,115 @@
 
 from rowanrack.net.http import Reply, Request
 
-TEXT = {"Content-Type": "text/plain; charset=utf-8", "Connection": "close"}
-FIGURES = {"Content-Type": "text/plain; version=0.0.4; charset=utf-8", "Connection": "close"}
-CHANNELS, LAYOUT = "/_channels/", "/_layout"
-NAME_MOST = 256  # characters of an endpoint's id
+TEXT_HEADERS = {"Content-Type": "text/plain; charset=utf-8", "Connection": "close"}
+METRICS_HEADERS = {"Content-Type": "text/plain; version=0.0.4; charset=utf-8", "Connection": "close"}
+CHANNELS_PATH, LAYOUT_PATH = "/_channels/", "/_layout"
+MAX_NAME_LENGTH = 256  # in characters
 
 
 class NotKeptError(Exception):
-    """A change holds but could not be written; the text says why. It is lost if the process ends now."""
+    """Raised when a change is in effect but not persisted, so that it is lost if the process ends now."""
 
 
-class Past(Protocol):
-    """The channels' log, where the operator's file has one."""
+class ChannelLog(Protocol):
+    """The log of channels, which exists if the site file has a [channels] section."""
 
     async def past(self, target: str) -> Reply:
-        """The answer to a read of a channel."""
+        """Answer a read of a channel."""
 
     async def announce(self, body: bytes) -> Reply:
-        """Announce a layout."""
+        """Announce a layout and return the answer."""
 
 
 class Operations(Protocol):
-    """What the operators' calls reach in the sender."""
+    """The operations of the sender that operators' calls use."""
 
-    def log_of_channels(self) -> Past | None:
-        """The channels' log; None without one."""
+    def log_of_channels(self) -> ChannelLog | None:
+        """Return the log of channels, or None if there is none."""
 
     def unready(self) -> str:
-        """Why this process does not serve, in one line; empty while it does."""
+        """Return in one line why this process is not ready; empty if it is ready."""
 
     def figures(self) -> str:
-        """The figures in the exposition format."""
+        """Return the metrics in the Prometheus text exposition format."""
 
     def detach(self, name: str) -> bool:
-        """Send nothing new to an endpoint; False if nobody knows it. Raises NotKeptError."""
+        """Stop sending to an endpoint; False if it is unknown. Raises NotKeptError."""
 
     def attach(self, name: str) -> bool:
-        """Use an endpoint again; False if it was not detached. Raises NotKeptError."""
+        """Resume sending to an endpoint; False if it was not detached. Raises NotKeptError."""
 
     def lameduck(self, on: bool) -> None:
-        """Begin or end a drain of the clients."""
+        """Enter or leave lame duck, in which clients are drained."""
 
 
-def plain(status: int, text: str) -> Reply:
-    """An answer of one line."""
-    return Reply(status, TEXT, (text + "\n").encode())
+def text_reply(status: int, text: str) -> Reply:
+    """Build a plain-text reply of one line."""
+    return Reply(status, TEXT_HEADERS, (text + "\n").encode())
 
 
-def endpoint_name(body: bytes) -> str:
-    """The endpoint named in a body `{"name": "ID"}`. Raises ValueError with a text for the caller."""
+def parse_endpoint_name(body: bytes) -> str:
+    """Parse the endpoint name from a body `{"name": "ID"}`. Raises ValueError with a text for the caller."""
     try:
-        doc = json.loads(body)
+        document = json.loads(body)
     except (ValueError, RecursionError):
         raise ValueError("the body is no JSON") from None
-    name = doc.get("name") if isinstance(doc, dict) else None
-    if not isinstance(name, str) or not 0 < len(name) <= NAME_MOST:
+    name = document.get("name") if isinstance(document, dict) else None
+    if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH:
         raise ValueError('the body names no endpoint: {"name": "ID"}')
     return name
 
 
-async def answer_in_time(request: Request, ops: Operations) -> Reply:
-    """The reply to one operator's call, also where other sites have to be asked for it."""
+async def answer_with_channels(request: Request, operations: Operations) -> Reply:
+    """Answer one call, including calls on channels, which may have to ask other sites."""
     path = request.target.partition("?")[0]
-    if path != LAYOUT and not path.startswith(CHANNELS):
-        return answer(request, ops)
-    if (past := ops.log_of_channels()) is None:
-        return plain(404, "this sender keeps no channels: its file has no [channels]")
-    if request.method != (wanted := "POST" if path == LAYOUT else "GET"):
-        return plain(405, f"{path[:64]} takes {wanted}")
-    return await (past.announce(request.body) if path == LAYOUT else past.past(request.target))
+    if path != LAYOUT_PATH and not path.startswith(CHANNELS_PATH):
+        return answer_locally(request, operations)
+    if (channel_log := operations.log_of_channels()) is None:
+        return text_reply(404, "this sender keeps no channels: its file has no [channels]")
+    if request.method != (allowed_method := "POST" if path == LAYOUT_PATH else "GET"):
+        return text_reply(405, f"{path[:64]} takes {allowed_method}")
+    return await (
+        channel_log.announce(request.body) if path == LAYOUT_PATH else channel_log.past(request.target)
+    )
 
 
-def answer(request: Request, ops: Operations) -> Reply:
-    """The reply to one operator's call."""
+def answer_locally(request: Request, operations: Operations) -> Reply:
+    """Answer one call that needs only this sender."""
     path = request.target.partition("?")[0]
-    wanted = ROUTES.get(path)
-    if wanted is None:
-        return plain(404, f"no such call: {path[:64]}")
-    if request.method != wanted:
-        return plain(405, f"{path} takes {wanted}")
+    allowed_method = METHOD_BY_PATH.get(path)
+    if allowed_method is None:
+        return text_reply(404, f"no such call: {path[:64]}")
+    if request.method != allowed_method:
+        return text_reply(405, f"{path} takes {allowed_method}")
     match path:
         case "/_ready":
-            return plain(503, f"not ready: {why}") if (why := ops.unready()) else plain(200, "ready")
+            return (
+                text_reply(503, f"not ready: {reason}")
+                if (reason := operations.unready())
+                else text_reply(200, "ready")
+            )
         case "/_vars":
-            return Reply(200, FIGURES, ops.figures().encode())
+            return Reply(200, METRICS_HEADERS, operations.figures().encode())
         case "/_lameduck/on" | "/_lameduck/off":
-            ops.lameduck(path.endswith("/on"))
-            return plain(200, "lame duck " + path.rpartition("/")[2])
+            operations.lameduck(path.endswith("/on"))
+            return text_reply(200, "lame duck " + path.rpartition("/")[2])
     try:
-        name = endpoint_name(request.body)
-    except ValueError as bad:
-        return plain(400, str(bad))
-    change, done, unknown = (
-        (ops.detach, "detached", f"no endpoint {name}")
+        name = parse_endpoint_name(request.body)
+    except ValueError as error:
+        return text_reply(400, str(error))
+    change, done_word, not_found_text = (
+        (operations.detach, "detached", f"no endpoint {name}")
         if path == "/_endpoints/detach"
-        else (ops.attach, "attached", f"{name} is not detached")
+        else (operations.attach, "attached", f"{name} is not detached")
     )
     try:
-        return plain(200, f"{done} {name}") if change(name) else plain(404, unknown)
+        return text_reply(200, f"{done_word} {name}") if change(name) else text_reply(404, not_found_text)
     except NotKeptError as error:
-        return plain(507, f"{done} {name} until this process ends, not written yet: {error}")
+        return text_reply(507, f"{done_word} {name} until this process ends, not written yet: {error}")
 
 
-ROUTES = {
+METHOD_BY_PATH = {
     "/_ready": "GET",
     "/_vars": "GET",
     "/_endpoints/detach": "POST",
--- a/rowanrack/fronts/mgmt/server.py
+++ b/rowanrack/fronts/mgmt/server.py
@@ -1,39 +1,40 @@
-"""The listener of the management front: one call a connection, then the connection closes."""
+"""The listener of the management front: each connection is closed after one call."""
 
 from __future__ import annotations
 
 from rowanrack.core.exchange import Exchange
-from rowanrack.fronts.mgmt.calls import Operations, answer_in_time, plain
+from rowanrack.fronts.mgmt.calls import Operations, answer_with_channels, text_reply
 from rowanrack.net.http import TOO_SLOW, HttpError, HttpServed
 from rowanrack.net.listener import Listener, State
 from rowanrack.net.stream import Stream
 
-CALLERS_MOST = 64  # connections of operators at once; silent ones make room for the newest
-BODY_MOST = 64 * 1024  # a layout of hundreds of sites
-OWED_US = 900_000  # for a whole call; a caller that holds its connection longer hears 408
+MAX_CONNECTIONS = 64  # connections of operators; when it is reached, silent ones are closed for new ones
+MAX_BODY_BYTES = 64 * 1024  # enough for a layout of hundreds of sites
+REQUEST_TIMEOUT_US = 900_000  # for receiving a whole request; later ones are answered with 408
 
 
 class ManagementServer(Listener):
-    """Answers operators' calls; bad or late input ends only its own connection, with a 4xx."""
+    """Answers operators' calls. Invalid or late input gets a 4xx and closes only its own connection."""
 
     too_slow = TOO_SLOW
-    owed_us = OWED_US
+    owed_us = REQUEST_TIMEOUT_US
     spared_us = 100_000
 
-    def __init__(self, exchange: Exchange, ops: Operations) -> None:
-        super().__init__(CALLERS_MOST, exchange)
-        self.ops = ops
+    def __init__(self, exchange: Exchange, operations: Operations) -> None:
+        super().__init__(MAX_CONNECTIONS, exchange)
+        self.operations = operations
 
     async def talk(self, stream: Stream) -> None:
-        """Read one call, answer it, and close."""
-        served = HttpServed(stream, BODY_MOST)
+        """Answer one call, then close the connection."""
+        http = HttpServed(stream, MAX_BODY_BYTES)
         try:
-            request = await served.receive(lambda: self.mark(stream, State.OWING))
-        except HttpError as bad:
-            await self.farewell(stream, served.wire(plain(bad.status, str(bad))), str(bad))
+            request = await http.receive(lambda: self.mark(stream, State.OWING))
+        except HttpError as error:
+            await self.farewell(stream, http.wire(text_reply(error.status, str(error))), str(error))
             return
         if request is None:
             return
         self.mark(stream, State.BUSY)
-        await served.answer(await answer_in_time(request, self.ops))
-        self.mark(stream, State.IDLE)  # a caller, no stranger: it is not held back under load
+        await http.answer(await answer_with_channels(request, self.operations))
+        # The connection now belongs to a known caller and is not throttled under load.
+        self.mark(stream, State.IDLE)
--- a/rowanrack/fronts/platform/__init__.py
+++ b/rowanrack/fronts/platform/__init__.py
@@ -1,3 +1,3 @@
-"""The platform's front: RESP2 from clients, /inbox to instances, notices and the discovery watch."""
+"""The platform front: RESP2 for clients, HTTP calls to endpoints, notices, and the discovery watch."""
 
 FRONT = "platform"
--- a/rowanrack/fronts/platform/bulk.py
+++ b/rowanrack/fronts/platform/bulk.py
@@ -1,6 +1,7 @@
-"""Several messages in one call: the body of POST /inbox/bulk, and what its answer says of each. No I/O.
+"""Encoding of several messages as the body of POST /inbox/bulk, and parsing of its answer. No I/O.
 
-An answer is believed only where it is clear: whatever it leaves out, names twice or spoils may have run.
+An answer counts only for messages that it reports unambiguously. A message that is missing, reported twice or
+reported in a malformed entry may have run.
 """
 
 from __future__ import annotations
@@ -13,48 +14,48 @@
 
 from rowanrack.core.messages import Message
 
-BODY_MOST = 64 * 1024  # bytes of a request's body
+MAX_BODY_BYTES = 64 * 1024
 STATES = frozenset({"ok", "error", "later", "gone", "exhausted"})
 
 
-def entry(message: Message) -> bytes:
-    """One message as it stands in the array."""
-    doc = {"id": message.id, "body": base64.b64encode(message.body).decode()}
+def encode_entry(message: Message) -> bytes:
+    """Encode one message as an element of the array."""
+    document = {"id": message.id, "body": base64.b64encode(message.body).decode()}
     if message.key:
-        doc["key"] = message.key
-    return json.dumps(doc, separators=(",", ":")).encode()
+        document["key"] = message.key
+    return json.dumps(document, separators=(",", ":")).encode()
 
 
-def fit(messages: Sequence[Message], most: int = BODY_MOST) -> int:
-    """How many of them, from the first on, stand in one body; one at least, none of them twice."""
+def count_that_fit(messages: Sequence[Message], max_bytes: int = MAX_BODY_BYTES) -> int:
+    """Return how many leading messages fit in one body: at least one, and no id twice."""
     size, ids = 1, set[str]()
     for count, message in enumerate(messages):
-        size += len(entry(message)) + 1
-        if count and (size > most or message.id in ids):
+        size += len(encode_entry(message)) + 1
+        if count and (size > max_bytes or message.id in ids):
             return count
         ids.add(message.id)
     return len(messages)
 
 
 def encode(messages: Sequence[Message]) -> bytes:
-    """The body."""
-    return b"[" + b",".join(entry(m) for m in messages) + b"]"
+    """Encode the body of the request."""
+    return b"[" + b",".join(encode_entry(message) for message in messages) + b"]"
 
 
-def told_once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """A JSON object; an empty one if it has a name twice, since readers differ in which they take."""
+def reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Build a JSON object; empty if a key is repeated, since parsers differ in which value they use."""
     found = dict(pairs)
     return found if len(found) == len(pairs) else {}
 
 
 def states(body: bytes, ids: Sequence[str]) -> list[str]:
-    """The state of each id in the answer's body; "" where it is not told clearly."""
+    """Return the state of each id in the body of the answer; "" if it is missing or ambiguous."""
     try:
-        doc: Any = json.loads(body, object_pairs_hook=told_once)
+        document: Any = json.loads(body, object_pairs_hook=reject_duplicate_keys)
     except (ValueError, RecursionError):
-        doc = None
-    items = [item for item in doc if isinstance(item, dict)] if isinstance(doc, list) else []
-    named = [(name, item.get("state")) for item in items if isinstance(name := item.get("id"), str)]
-    times, told = Counter(name for name, _ in named), dict(named)
-    found = (told[message_id] if times[message_id] == 1 else "" for message_id in ids)
-    return [state if isinstance(state, str) and state in STATES else "" for state in found]
+        document = None
+    items = [item for item in document if isinstance(item, dict)] if isinstance(document, list) else []
+    reported = [(name, item.get("state")) for item in items if isinstance(name := item.get("id"), str)]
+    occurrences, state_by_id = Counter(name for name, _ in reported), dict(reported)
+    found_states = (state_by_id[message_id] if occurrences[message_id] == 1 else "" for message_id in ids)
+    return [state if isinstance(state, str) and state in STATES else "" for state in found_states]
--- a/rowanrack/fronts/platform/discovery.py
+++ b/rowanrack/fronts/platform/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's name table: its lists, and the watch on their changes."""
+"""The platform's discovery service: parses its endpoint lists and watches them for changes."""
 
 from __future__ import annotations
 
@@ -23,49 +23,53 @@
     "DRAINING": EndpointStatus.DRAINING,
     "DELETED": EndpointStatus.REMOVED,
 }
-WAIT_MS = 10_000  # for which a watch waits: a silent loss of it is noticed so much later
-UNSURE_MS = 1_000  # for which it waits at first at a new address or after a failure: the next may be silent
-GRACE_US = 1_000_000  # past that: what discovery has to tell counts as told 2 s after the wait
-MOVED_US = 4_000_000  # after a move no failure counts: news count as told 4 s after it
-AGAIN_US = 100_000  # between the tries meanwhile, and behind an answer ahead of its time without news
-FIRST_US = 1_000_000  # for which a process waits for its first news where lists are pushed
-LIST_LIMIT = 4 << 20
+# How long a watch call may block. A connection that dies silently is noticed only after this time.
+WATCH_WAIT_MS = 10_000
+# Shorter wait for the first call to a new address or after a failure, which may remain unanswered, too.
+SHORT_WATCH_WAIT_MS = 1_000
+# Time beyond the wait within which an answer must arrive: a change counts as known to us 2 s after the wait.
+ANSWER_GRACE_US = 1_000_000
+# After a move, failures are not counted for this time: a change counts as known to us 4 s after the move.
+MOVE_TOLERANCE_US = 4_000_000
+RETRY_DELAY_US = 100_000  # between calls after a move, and after an early answer without changes
+FIRST_LIST_TIMEOUT_US = 1_000_000  # limit of the wait for the first list at start-up, where lists are pushed
+MAX_LIST_BYTES = 4 << 20
 
 
 class ListError(ValueError):
-    """A list that cannot be read."""
+    """Raised for an endpoint list that cannot be parsed."""
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """A host and a port."""
+    """Parse `host:port`. Raises ListError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ListError(f"not an address: {text!r}")
+        raise ListError(f"not an address of the form host:port: {text!r}")
     return host.strip("[]"), int(port)
 
 
-def rate_of(given: Any) -> float:
-    """Calls a second; JSON as Python reads it may hold numbers that are none."""
-    if not math.isfinite(rate := float(given)) or rate < 0:
-        raise ListError(f"not a rate: {given!r}")
+def parse_rate(value: Any) -> float:
+    """Parse a rate in calls per second. Rejects infinities and NaN, which the json module accepts."""
+    if not math.isfinite(rate := float(value)) or rate < 0:
+        raise ListError(f"not a rate of calls per second: {value!r}")
     return rate
 
 
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
+ENTRY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """An answer of discovery: a version, a scope, the entries, and why others could not be read."""
+    """An answer of discovery: version, scope, entries, and the errors of entries that cannot be parsed."""
 
     seq: int
     scope: UpdateScope
     entries: list[Endpoint]
-    unreadable: list[str]
+    entry_errors: list[str]
 
 
 def parse_entry(host: Any) -> Endpoint:
-    """One entry in discovery's form. Raises one of UNREADABLE."""
+    """Parse one entry of a list. Raises one of ENTRY_ERRORS."""
     return Endpoint(
         str(host["host"]),
         *parse_address(host["dial"]),
@@ -73,155 +77,164 @@
         str(host["class"]),
         int(host["block"]),
         STATUSES[host["health"]],
-        rate_of(host.get("share", 0)),
+        parse_rate(host.get("share", 0)),
     )
 
 
-def read_list(doc: Any) -> ServerList:
-    """A list in discovery's form; a whole one of which no entry can be read is a ListError."""
-    entries, unreadable = list[Endpoint](), list[str]()
+def read_list(document: Any) -> ServerList:
+    """Parse a list. Raises ListError if it is malformed, or is a full list without any valid entry."""
+    entries, entry_errors = list[Endpoint](), list[str]()
     try:
         seq, scope, hosts = (
-            int(doc["seq"]),
-            UpdateScope.FULL if doc["whole"] else UpdateScope.DELTA,
-            list(doc["hosts"]),
+            int(document["seq"]),
+            UpdateScope.FULL if document["whole"] else UpdateScope.DELTA,
+            list(document["hosts"]),
         )
-    except UNREADABLE as error:
-        raise ListError(f"unreadable list: {error!r}") from None
+    except ENTRY_ERRORS as error:
+        raise ListError(f"malformed endpoint list: {error!r}") from None
     for host in hosts:
         try:
             entries.append(parse_entry(host))
-        except UNREADABLE as error:
-            unreadable.append(repr(error))
-    if unreadable and not entries and scope is UpdateScope.FULL:
-        raise ListError(f"unreadable list: {unreadable[0]}")
-    return ServerList(seq, scope, entries, unreadable)
+        except ENTRY_ERRORS as error:
+            entry_errors.append(repr(error))
+    if entry_errors and not entries and scope is UpdateScope.FULL:
+        raise ListError(f"malformed endpoint list: {entry_errors[0]}")
+    return ServerList(seq, scope, entries, entry_errors)
 
 
-def parse_list(doc: Any) -> tuple[int, UpdateScope, list[Endpoint]]:
-    """The version, the scope and the entries of a list that has to be readable in every entry."""
-    told = read_list(doc)
-    if told.unreadable:
-        raise ListError(f"unreadable list: {told.unreadable[0]}")
-    return told.seq, told.scope, told.entries
+def parse_list(document: Any) -> tuple[int, UpdateScope, list[Endpoint]]:
+    """Parse a list and return its version, scope and entries. Raises ListError if any entry is invalid."""
+    server_list = read_list(document)
+    if server_list.entry_errors:
+        raise ListError(f"malformed endpoint list: {server_list.entry_errors[0]}")
+    return server_list.seq, server_list.scope, server_list.entries
 
 
 class DiscoveryWatch:
-    """Follows discovery's list once the module has asked, until a 503 or two breaks in a row.
+    """Follows discovery's list, once the decision module has requested it, until it gives up.
 
-    What was written to this sender counts as told, also if it could not be read, so a break of any kind is
-    followed by the next call at once. Where lists are pushed, a process begins with what there is (`first`).
+    It gives up after a 503 or two failures in a row. A change counts as known to the sender once discovery
+    has written it, even if it was not received, so the next call follows any other failure at once. Where
+    lists are pushed, a process gets the current list before it serves (`first`).
     """
 
     def __init__(self, exchange: Exchange, host: str, port: int, seq: int, pushed: bool = False) -> None:
         self.exchange, self.seq, self._pushed = exchange, seq, pushed
-        self._line = HttpLine(exchange.after, host, port, LIST_LIMIT)
+        self._http = HttpLine(exchange.after, host, port, MAX_LIST_BYTES)
         self._task: asyncio.Task[None] | None = None
-        self._moved_at: int | None = None
-        self._unsure = False  # whether its next call may fail too
-        self._in_doubt = False  # whether the last answer may be stale or spoilt: the whole list is asked for
-        self._answered = asyncio.Event()
-        self._rare = RareLog(log)
-        self.failed = 0  # tries since the move
+        self._moved_at_us: int | None = None
+        self._next_may_fail = False  # whether the next call may fail, too, and gets a shorter wait
+        # Whether the last answer may be stale or corrupted, so that the full list is requested.
+        self._needs_full_list = False
+        self._first_call_done = asyncio.Event()
+        self._limited_warnings = RareLog(log)
+        self.failed = 0  # failed calls since the move to another address
 
     def watch(self) -> None:
-        """The module's request."""
+        """Start the watch unless it runs. Called when the decision module requests the list."""
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._follow())
 
     async def first(self) -> None:
-        """Wait for what there is to know at the start, or for a failure, but not for long."""
+        """Start the watch and wait for the first list or a failure, for FIRST_LIST_TIMEOUT_US at most."""
         self.watch()
         with suppress(TimeoutError):
-            async with time_limit(self.exchange.after, FIRST_US):
-                await self._answered.wait()
+            async with time_limit(self.exchange.after, FIRST_LIST_TIMEOUT_US):
+                await self._first_call_done.wait()
 
     def move(self, host: str, port: int) -> None:
-        """Watch at this address from now on: the list goes on from the version that was read last."""
+        """Switch to another address and continue from the version that was last applied."""
         self.close()
-        self._line = HttpLine(self.exchange.after, host, port, LIST_LIMIT)
-        self._moved_at, self._unsure = self.exchange.clock.now_us(), True
+        self._http = HttpLine(self.exchange.after, host, port, MAX_LIST_BYTES)
+        self._moved_at_us, self._next_may_fail = self.exchange.clock.now_us(), True
         self._task = asyncio.create_task(self._follow())
 
     def close(self) -> None:
-        """End the watch."""
+        """Stop the watch."""
         if self._task is not None:
             self._task.cancel()
-        self._line.close()
+        self._http.close()
 
     async def _follow(self) -> None:
         failures = self.failed = 0
-        while (
-            failures < 2
-        ):  # behind a break the next call comes at once: within 200 ms it continues the watch
+        # After a failure the next call follows at once: one within 200 ms continues the same watch.
+        while failures < 2:
             failed = 1
             try:
-                await self._ask()
+                await self._call()
                 failed = 0
             except (*FAILURES, ListError) as error:
-                self._rare.warning("discovery: the watch ended: %s", str(error) or type(error).__name__)
-                # Discovery that answers but cannot serve is busy: the module asks again, later.
+                self._limited_warnings.warning(
+                    "discovery: the watch call failed: %s", str(error) or type(error).__name__
+                )
+                # Discovery answers but is overloaded, so end now and let the module request the list later.
                 failed = 2 if isinstance(error, BadReplyError) and error.status != 200 else 1
             except Exception:
-                log.exception("discovery: the watch failed")  # a defect must not end the watch unnoticed
-            self._unsure |= failed > 0
+                # Caught so that a defect does not end this task unnoticed.
+                log.exception("discovery: the watch call failed unexpectedly")
+            self._next_may_fail |= failed > 0
             failures = failures + failed if failed else 0
-            if failures and self._just_moved():
+            if failures and self._recently_moved():
                 failures, self.failed = 0, self.failed + 1
-                await pause(self.exchange.after, AGAIN_US)
-        self._answered.set()
+                await pause(self.exchange.after, RETRY_DELAY_US)
+        self._first_call_done.set()
         self.exchange.list_instances(UpdateScope.FAILED, ())
 
-    def _just_moved(self) -> bool:
-        """Guards against a new address that opens late: the module would ask again only seconds on."""
+    def _recently_moved(self) -> bool:
+        """Whether failures are not counted yet after a move.
+
+        A new address may start to listen late, and after a failed watch the module waits for seconds.
+        """
         now = self.exchange.clock.now_us()
-        return self._moved_at is not None and now - self._moved_at < MOVED_US
+        return self._moved_at_us is not None and now - self._moved_at_us < MOVE_TOLERANCE_US
 
-    async def _ask(self) -> None:
-        """One call, and what it tells. Raises one of FAILURES, or ListError."""
-        wait_ms = UNSURE_MS if self._unsure else WAIT_MS
-        if self._pushed and not self._answered.is_set():
+    async def _call(self) -> None:
+        """Make one call and apply its answer. Raises one of FAILURES, or ListError."""
+        wait_ms = SHORT_WATCH_WAIT_MS if self._next_may_fail else WATCH_WAIT_MS
+        if self._pushed and not self._first_call_done.is_set():
             wait_ms = 0
-        asked_at = self.exchange.clock.now_us()
-        async with time_limit(self.exchange.after, wait_ms * 1000 + GRACE_US):
-            confirms = self._in_doubt
-            target = "/v1/servers" if confirms else f"/v1/servers?index={self.seq}&wait={wait_ms}"
-            _, doc = await self._line.get_json(target)
-        news = self._take(read_list(doc))
-        if self._in_doubt and not confirms:
-            self._unsure = True  # the whole list comes at once: its silence is no wait
+        called_at = self.exchange.clock.now_us()
+        async with time_limit(self.exchange.after, wait_ms * 1000 + ANSWER_GRACE_US):
+            requests_full_list = self._needs_full_list
+            target = "/v1/servers" if requests_full_list else f"/v1/servers?index={self.seq}&wait={wait_ms}"
+            _, document = await self._http.get_json(target)
+        has_changes = self._apply(read_list(document))
+        if self._needs_full_list and not requests_full_list:
+            self._next_may_fail = True  # the full list is sent without a wait, so silence means a failure
             return
-        self._unsure = False
-        self._answered.set()
-        # Guards discovery, and this core, against answers that do not wait: within 200 ms the watch goes on.
-        if not news and self.exchange.clock.now_us() - asked_at < wait_ms * 1000:
-            await pause(self.exchange.after, AGAIN_US)
-
-    def _take(self, told: ServerList) -> bool:
-        """Take a list over, and only then its version; whether it held news."""
-        self._in_doubt = self._doubts(told)
-        if self._in_doubt:
+        self._next_may_fail = False
+        self._first_call_done.set()
+        # Avoids a busy loop if discovery answers without waiting; a call within 200 ms continues the watch.
+        if not has_changes and self.exchange.clock.now_us() - called_at < wait_ms * 1000:
+            await pause(self.exchange.after, RETRY_DELAY_US)
+
+    def _apply(self, server_list: ServerList) -> bool:
+        """Apply a list and then record its version. Returns whether the list had changes."""
+        self._needs_full_list = self._must_confirm(server_list)
+        if self._needs_full_list:
             return False
-        if told.unreadable:
-            count, first = len(told.unreadable), told.unreadable[0]
-            self._rare.warning("discovery: %d entries are left out, unreadable: %s", count, first)
-        self.exchange.list_instances(told.scope, told.entries)
-        last, self.seq = self.seq, told.seq
-        return told.seq > last and bool(told.entries)
-
-    def _doubts(self, told: ServerList) -> bool:
-        """Whether an answer is to be confirmed by the whole list, which is then believed as it comes.
-
-        With a lower version it may be stale, or discovery's versions have begun anew: what has changed by
-        another count is not known. An entry that cannot be read may be spoilt on the way.
+        if server_list.entry_errors:
+            count, first = len(server_list.entry_errors), server_list.entry_errors[0]
+            self._limited_warnings.warning(
+                "discovery: %d entries left out, they cannot be parsed: %s", count, first
+            )
+        self.exchange.list_instances(server_list.scope, server_list.entries)
+        previous_seq, self.seq = self.seq, server_list.seq
+        return server_list.seq > previous_seq and bool(server_list.entries)
+
+    def _must_confirm(self, server_list: ServerList) -> bool:
+        """Whether the full list must be requested before an answer is applied; that list is then trusted.
+
+        An answer with a lower version may be stale, or discovery has restarted its version count, so that
+        changes since our version are unknown. An entry that cannot be parsed may be corrupted in transit.
         """
-        if self._in_doubt and told.scope is UpdateScope.FULL:
+        if self._needs_full_list and server_list.scope is UpdateScope.FULL:
             return False
-        if told.seq < self.seq:
-            reason = f"version {told.seq} after {self.seq}"
-        elif told.unreadable:
-            reason = f"an entry is unreadable: {told.unreadable[0]}"
+        if server_list.seq < self.seq:
+            reason = f"version {server_list.seq} is lower than the last one, {self.seq}"
+        elif server_list.entry_errors:
+            reason = f"an entry cannot be parsed: {server_list.entry_errors[0]}"
         else:
             return False
-        self._rare.warning("discovery: the whole list is asked for: %s", reason)
+        self._limited_warnings.warning("discovery: requesting the full list: %s", reason)
         return True
--- a/rowanrack/fronts/platform/inbox.py
+++ b/rowanrack/fronts/platform/inbox.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's instances: POST /inbox and /inbox/bulk, and what their answers mean."""
+"""Calls to the platform's endpoints, POST /inbox and /inbox/bulk, and the outcome of each answer."""
 
 from __future__ import annotations
 
@@ -10,30 +10,32 @@
 from rowanrack.net.http import Call, Reply
 from rowanspindle import Result
 
-WAIT_MOST_MS = 3_600_000  # a longer wait outlives every message that is held
-SINGLY_MOST = 256  # instances remembered as taking no bulk; names are ever new
-STATES = {
+MAX_RETRY_AFTER_MS = 3_600_000  # longer than the deadline of any message that is held
+# Bounds the memory for endpoints that reject bulk calls, since new endpoint names keep appearing.
+MAX_BULK_REJECTING_ENDPOINTS = 256
+VERDICT_BY_STATE = {
     "ok": CallVerdict(Result.OK),
     "error": CallVerdict(Result.ERROR),
     "later": CallVerdict(Result.FULL),
     "gone": CallVerdict(Result.MOOT, end=Ending.OVER),
     "exhausted": CallVerdict(Result.MOOT),
-    "": CallVerdict(Result.ERROR),  # not told, or not clearly: it may have run
+    "": CallVerdict(Result.ERROR),  # missing or ambiguous: the attempt may have run
 }
 
 
-def wait_us(headers: Mapping[str, str]) -> int:
-    """The wait that X-Retry-In-Ms tells; 0 if it tells none, or cannot be read."""
+def retry_after_us(headers: Mapping[str, str]) -> int:
+    """Parse the retry-after wait in X-Retry-In-Ms; 0 if absent or malformed."""
     text = headers.get("x-retry-in-ms", "").strip()
-    return min(int(text[:12]), WAIT_MOST_MS) * 1000 if text.isascii() and text.isdigit() else 0
+    return min(int(text[:12]), MAX_RETRY_AFTER_MS) * 1000 if text.isascii() and text.isdigit() else 0
 
 
-def report(headers: Mapping[str, str], names: Sequence[str]) -> tuple[float | None, float | None]:
-    """What X-Pressure tells under the names that the settings give: the share left, and the limit.
+def parse_pressure(headers: Mapping[str, str], names: Sequence[str]) -> tuple[float | None, float | None]:
+    """Parse X-Pressure and return the share of the limit that is left and the limit, each None if absent.
 
-    A value that cannot be is as good as none: a made-up limit would hold a destination back for nothing.
+    Only fields listed in `names`, from the settings, are read. Impossible values are ignored, since a wrong
+    limit would slow calls to a destination without need.
     """
-    told: dict[str, float] = {}
+    values: dict[str, float] = {}
     for pair in headers.get("x-pressure", "").split(","):
         name, _, text = pair.partition("=")
         try:
@@ -41,47 +43,54 @@
         except ValueError:
             continue
         if name.strip() in names and math.isfinite(value) and value >= 0:
-            told[name.strip()] = value
-    return told.get("x0"), told.get("x1")
+            values[name.strip()] = value
+    return values.get("x0"), values.get("x1")
 
 
 class InboxForm:
-    """The platform's form of a call."""
+    """Builds the platform's calls and interprets their answers."""
 
-    def __init__(self, reports: Sequence[str] = ()) -> None:
-        self._reports = reports
-        self._singly: dict[str, None] = {}  # instances that have turned a bulk down
+    def __init__(self, pressure_names: Sequence[str] = ()) -> None:
+        self._pressure_names = pressure_names
+        self._bulk_rejecting: dict[str, None] = {}  # endpoints that rejected a bulk call, oldest first
 
     def part(self, waiting: Sequence[Attempt]) -> int:
-        """As many as one body holds; one where the instance has turned a bulk down unread."""
-        if waiting[0].endpoint.name in self._singly:
+        """Return how many attempts go in the next call: one if the endpoint has rejected a bulk call."""
+        if waiting[0].endpoint.name in self._bulk_rejecting:
             return 1
-        return bulk.fit([e.message for e in waiting])
+        return bulk.count_that_fit([attempt.message for attempt in waiting])
 
     def call(self, part: Sequence[Attempt], left_us: int) -> Call:
-        """Ids, keys and bodies are passed on unchanged."""
-        remaining = ("X-Remaining", f"{left_us // 1000}m")
+        """Build the call for one or more attempts. Ids, keys and bodies are passed on unchanged."""
+        remaining_header = ("X-Remaining", f"{left_us // 1000}m")
         if len(part) > 1:
-            kind = ("Content-Type", "application/json")
-            return Call("POST", "/inbox/bulk", (remaining, kind), bulk.encode([e.message for e in part]))
+            content_type_header = ("Content-Type", "application/json")
+            return Call(
+                "POST",
+                "/inbox/bulk",
+                (remaining_header, content_type_header),
+                bulk.encode([attempt.message for attempt in part]),
+            )
         message = part[0].message
-        headers = [("X-Txn", message.id), remaining]
+        headers = [("X-Txn", message.id), remaining_header]
         if message.key:
             headers.append(("Idempotency-Key", message.key))
         return Call("POST", "/inbox", tuple(headers), message.body)
 
     def verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
-        """What the answer says of each. A wait and a report hold for all, whatever each one's state."""
-        wait = wait_us(reply.headers)
-        left, limit = report(reply.headers, self._reports) if self._reports else (None, None)
+        """Return the outcome of each attempt. A retry-after wait and a report apply to all of them."""
+        retry_wait_us = retry_after_us(reply.headers)
+        left_share, limit = (
+            parse_pressure(reply.headers, self._pressure_names) if self._pressure_names else (None, None)
+        )
         found = [self._verdict(reply)] if len(part) == 1 else self._bulk_verdicts(part, reply)
         if len(part) == 1 and reply.status != 429:
-            wait = 0  # on a single call only 429 tells one
-        return [CallVerdict(v.result, wait, v.end, left, limit) for v in found]
+            retry_wait_us = 0  # the answer to a single call carries a wait only with 429
+        return [CallVerdict(v.result, retry_wait_us, v.end, left_share, limit) for v in found]
 
     @staticmethod
     def _verdict(reply: Reply) -> CallVerdict:
-        """The table of outcomes in the protocol."""
+        """Map the status of an answer to an outcome, as the protocol defines it."""
         match reply.status:
             case 200:
                 return CallVerdict(Result.OK)
@@ -101,14 +110,17 @@
     def _bulk_verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
         match reply.status:
             case 200 if reply.whole:
-                return [STATES[s] for s in bulk.states(reply.body, [e.message.id for e in part])]
+                return [
+                    VERDICT_BY_STATE[state]
+                    for state in bulk.states(reply.body, [attempt.message.id for attempt in part])
+                ]
             case 200:
-                return [CallVerdict(Result.RESET)] * len(part)  # cut behind its first line: any may have run
+                return [CallVerdict(Result.RESET)] * len(part)  # truncated: any may have run
             case 400 | 413:
-                # None has run. One of them may be the cause, so they go singly from now on.
-                self._singly[part[0].endpoint.name] = None
-                if len(self._singly) > SINGLY_MOST:
-                    del self._singly[next(iter(self._singly))]
+                # None has run. Any message may be the cause, so later calls carry one message each.
+                self._bulk_rejecting[part[0].endpoint.name] = None
+                if len(self._bulk_rejecting) > MAX_BULK_REJECTING_ENDPOINTS:
+                    del self._bulk_rejecting[next(iter(self._bulk_rejecting))]
                 return [CallVerdict(Result.MOOT)] * len(part)
             case 429 | 503:
                 return [self._verdict(reply)] * len(part)
--- a/rowanrack/fronts/platform/notices.py
+++ b/rowanrack/fronts/platform/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: the ends of messages that were taken and are not delivered."""
+"""Notices to the platform about messages that were accepted and ended without delivery."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 
 log = logging.getLogger(__name__)
 
-LINES = 3
-HEADERS = (("Content-Type", "application/x-ndjson"),)
-AGAIN_US = 100_000  # what is not confirmed by then goes out on the next line too: 300 ms late it is lost
-TRY_US = 400_000  # for one try; then its line is given up
-RETRY_US = 40_000
-BATCH_MOST = 256
+CONNECTION_COUNT = 3
+NOTICE_HEADERS = (("Content-Type", "application/x-ndjson"),)
+# A notice not confirmed within this time is also sent on another connection; one 300 ms late is lost.
+RESEND_AFTER_US = 100_000
+ANSWER_TIMEOUT_US = 400_000  # the answer to a batch; after that its connection is closed
+RECONNECT_DELAY_US = 40_000
+MAX_BATCH_NOTICES = 256
 
 
-def notice_line(message_id: str, end: End) -> str:
-    """One notice."""
+def encode_notice(message_id: str, end: End) -> str:
+    """Encode one notice as a line of JSON."""
     notice: dict[str, str | int] = {"message": message_id, "outcome": "given_up"}
     if end.ending is Ending.REFUSED:
         notice["outcome"] = "handed_back"
@@ -34,153 +35,157 @@
     return json.dumps(notice)
 
 
-class Line:
-    """A connection for notices. While it stands idle, a notice is written on it in the call that tells it."""
+class NoticeConnection:
+    """A persistent connection for notices. While it is idle, a notice is written to it without delay."""
 
     def __init__(self) -> None:
-        self.caller: HttpCaller | None = None  # once it is open
-        self.batch: dict[str, End] = {}  # what is written on it and not yet answered
-        self.wanted = asyncio.Event()
+        self.caller: HttpCaller | None = None  # None while the connection is not open
+        self.batch: dict[str, End] = {}  # notices written and not yet confirmed
+        self.needed = asyncio.Event()
         self.timer: Timer | None = None
         self.task: asyncio.Task[None] | None = None
 
     @property
     def idle(self) -> bool:
-        """Whether a batch may be written on it now."""
+        """Whether a batch can be written to it now."""
         return self.caller is not None and not self.batch and self.caller.reusable
 
-    def drop(self) -> dict[str, End]:
-        """Close it, and return what it leaves unconfirmed."""
+    def close(self) -> dict[str, End]:
+        """Close the connection and return its unconfirmed notices."""
         if self.timer is not None:
             self.timer.cancel()
         if self.caller is not None:
             self.caller.stream.abort()
-        left, self.batch, self.caller, self.timer = self.batch, {}, None, None
-        return left
+        unconfirmed, self.batch, self.caller, self.timer = self.batch, {}, None, None
+        return unconfirmed
 
 
 class Notices:
     """Sends every notice until the platform confirms it with 204.
 
-    The first line stands open from the start, so that an end and its notice are one step: a loop that comes
-    to everything late still tells in time. Further ones open while answers are awaited.
+    The first connection is opened at the start, so that a notice can be written in the step in which its
+    message ends, in time even on an overloaded event loop. The others are opened while answers are awaited.
     """
 
-    def __init__(self, host: str, port: int, after: After, confirmed: Callable[[str], None]) -> None:
-        self._after, self._confirmed = after, confirmed
+    def __init__(self, host: str, port: int, after: After, on_confirmed: Callable[[str], None]) -> None:
+        self._after, self._on_confirmed = after, on_confirmed
         self.pending: dict[str, End] = {}
         self._unsent: dict[str, End] = {}
-        self._lines: list[Line] = []
-        self._flushing: asyncio.Handle | None = None
+        self._connections: list[NoticeConnection] = []
+        self._flush_handle: asyncio.Handle | None = None
         self.move(host, port)
 
     def move(self, host: str, port: int) -> None:
-        """Send to this address from now on, what is pending or under way too: a notice twice does no harm."""
+        """Switch to another address and resend all pending notices there; duplicates are harmless."""
         self.close()
         self._host, self._port = host, port
         self._unsent = dict(self.pending)
-        self._lines = [Line() for _ in range(LINES)]
-        for line in self._lines:
-            line.task = asyncio.create_task(self._run(line))
-        self._lines[0].wanted.set()
+        self._connections = [NoticeConnection() for _ in range(CONNECTION_COUNT)]
+        for connection in self._connections:
+            connection.task = asyncio.create_task(self._run(connection))
+        self._connections[0].needed.set()
 
     def close(self) -> None:
-        """Send no more; a try that is under way ends, and what it told stays pending."""
-        if self._flushing is not None:
-            self._flushing.cancel()
-            self._flushing = None
-        for line in self._lines:
-            if line.task is not None:
-                line.task.cancel()
-            line.drop()
-        self._lines = []
+        """Stop sending. Notices in transmission stay pending."""
+        if self._flush_handle is not None:
+            self._flush_handle.cancel()
+            self._flush_handle = None
+        for connection in self._connections:
+            if connection.task is not None:
+                connection.task.cancel()
+            connection.close()
+        self._connections = []
 
     def ended(self, message: Message, end: End) -> None:
-        """The exchange's listener: a message of this front has ended."""
+        """Queue a notice if a message was refused or failed. Called by the exchange when a message ends."""
         if end.ending in (Ending.REFUSED, Ending.FAILED):
             self.tell(message.id, end)
 
     def tell(self, message_id: str, end: End) -> None:
-        """Queue a notice; `flush` sends it, in the loop's next turn at the latest."""
+        """Queue a notice, which `flush` sends in the next iteration of the event loop at the latest."""
         self.pending[message_id] = self._unsent[message_id] = end
-        if self._flushing is None:
-            self._flushing = asyncio.get_running_loop().call_soon(self.flush)
+        if self._flush_handle is None:
+            self._flush_handle = asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Write what is queued on the lines that stand idle, now; the others take the rest later."""
-        if self._flushing is not None:
-            self._flushing.cancel()
-            self._flushing = None
-        for line in self._lines if self._unsent else ():
-            if line.idle and line.caller is not None:
-                line.batch = dict(islice(self._unsent.items(), BATCH_MOST))
-                for message_id in line.batch:
+        """Write queued notices to the idle connections now; the rest are sent once connections are free."""
+        if self._flush_handle is not None:
+            self._flush_handle.cancel()
+            self._flush_handle = None
+        for connection in self._connections if self._unsent else ():
+            if connection.idle and connection.caller is not None:
+                connection.batch = dict(islice(self._unsent.items(), MAX_BATCH_NOTICES))
+                for message_id in connection.batch:
                     del self._unsent[message_id]
-                body = "\n".join(notice_line(i, e) for i, e in line.batch.items()) + "\n"
-                line.caller.call_now(Call("POST", "/v1/outcomes", HEADERS, body.encode()))
-                line.timer = self._after(AGAIN_US, functools.partial(self._tell_again, line))
+                body = "\n".join(encode_notice(i, e) for i, e in connection.batch.items()) + "\n"
+                connection.caller.call_now(Call("POST", "/v1/outcomes", NOTICE_HEADERS, body.encode()))
+                connection.timer = self._after(RESEND_AFTER_US, functools.partial(self._resend, connection))
                 if not self._unsent:
                     return
         if self._unsent:
-            for line in self._lines:
-                line.wanted.set()
+            for connection in self._connections:
+                connection.needed.set()
 
-    def _tell_again(self, line: Line) -> None:
-        """Send what a line leaves unconfirmed on another one, and wait for its answer a little longer.
+    def _resend(self, connection: NoticeConnection) -> None:
+        """Resend the unconfirmed notices of a connection on another one, and wait longer for its answer.
 
-        Guards against a line that is silently dead: its notices would come again only when it is given up.
+        Without it the notices on a dead connection would be resent only once that is closed, too late.
         """
-        if line.caller is not None:
-            line.timer = self._after(TRY_US - AGAIN_US, line.caller.stream.abort)
-        self._queue_again(line.batch)
+        if connection.caller is not None:
+            connection.timer = self._after(
+                ANSWER_TIMEOUT_US - RESEND_AFTER_US, connection.caller.stream.abort
+            )
+        self._requeue(connection.batch)
         self.flush()
 
-    def _queue_again(self, unconfirmed: dict[str, End]) -> None:
-        """Queue notices ahead of the new ones, but for what another line has confirmed meanwhile."""
-        left = {i: end for i, end in unconfirmed.items() if self.pending.get(i) is end}
-        self._unsent = left | self._unsent
+    def _requeue(self, unconfirmed: dict[str, End]) -> None:
+        """Queue notices ahead of new ones, except those that another connection has confirmed."""
+        still_pending = {i: end for i, end in unconfirmed.items() if self.pending.get(i) is end}
+        self._unsent = still_pending | self._unsent
 
-    async def _run(self, line: Line) -> None:
-        """Keep a line for ever: open when it is wanted, and again after it has ended."""
+    async def _run(self, connection: NoticeConnection) -> None:
+        """Open the connection when it is needed and reopen it after it has ended, without end."""
         while True:
-            await line.wanted.wait()
-            line.wanted.clear()
-            why = ""
+            await connection.needed.wait()
+            connection.needed.clear()
+            reason = ""
             try:
                 async with time_limit(self._after, CONNECT_US):
                     stream = await Stream.connect(self._host, self._port)
-                where = f"{self._host}:{self._port}"
-                line.caller = HttpCaller(stream, where, 4096, self._after)
-                why = await self._talk(line, line.caller)
+                address = f"{self._host}:{self._port}"
+                connection.caller = HttpCaller(stream, address, 4096, self._after)
+                reason = await self._confirm_batches(connection, connection.caller)
             except FAILURES as error:
-                why = str(error) or type(error).__name__
+                reason = str(error) or type(error).__name__
             except Exception:
-                log.exception("notices: a try failed")  # guards the task that sends notices
-            left = line.drop()
-            self._queue_again(left)
-            if left or self._unsent:
-                log.warning("notices: not confirmed: %s", why or "the connection ended")
-                line.wanted.set()
-                await pause(self._after, RETRY_US)
-
-    async def _talk(self, line: Line, caller: HttpCaller) -> str:
-        """Confirm one batch after the other, as they are written; returns why the line is of no more use."""
+                log.exception("notices: sending failed unexpectedly")  # a defect must not end this task
+            unconfirmed = connection.close()
+            self._requeue(unconfirmed)
+            if unconfirmed or self._unsent:
+                log.warning(
+                    "notices: not confirmed, sending again: %s", reason or "the connection was closed"
+                )
+                connection.needed.set()
+                await pause(self._after, RECONNECT_DELAY_US)
+
+    async def _confirm_batches(self, connection: NoticeConnection, caller: HttpCaller) -> str:
+        """Read the answer to each batch; return the reason why the connection is no longer usable."""
         self.flush()
         while True:
-            await caller.stream.fill_quietly()  # the answer to a batch, or the end of the line
-            if not line.batch:
+            await caller.stream.fill_quietly()  # until the answer to a batch or the end of the connection
+            if not connection.batch:
                 return ""
             reply = await caller.reply()
-            if line.timer is not None:
-                line.timer.cancel()
+            if connection.timer is not None:
+                connection.timer.cancel()
             if reply.status != 204:
                 return f"answered {reply.status}"
-            for message_id, end in line.batch.items():
+            for message_id, end in connection.batch.items():
                 if self.pending.get(message_id) is end:
                     del self.pending[message_id]
                     self._unsent.pop(message_id, None)
-                    self._confirmed(message_id)
-            line.batch = {}
+                    self._on_confirmed(message_id)
+            connection.batch = {}
             if not caller.reusable:
                 return ""
             self.flush()
--- a/rowanrack/fronts/platform/resp.py
+++ b/rowanrack/fronts/platform/resp.py
@@ -1,66 +1,66 @@
-"""RESP2: commands as arrays of bulk strings, parsed from a ring buffer as they come in."""
+"""RESP2: parses commands, arrays of bulk strings, from a ring buffer, and encodes answers."""
 
 from __future__ import annotations
 
 from rowanrack.net.ring import RingBuffer
 
-WORDS_MOST = 16
-BULK_MOST = 64 * 1024
-LINE_MOST = 32
+MAX_ARGUMENTS = 16
+MAX_BULK_STRING_BYTES = 64 * 1024
+MAX_LINE_BYTES = 32
 
 
 class RespError(Exception):
-    """What came in is no RESP2 command; the text is for the client."""
+    """Raised for input that is not a valid command; the text is sent to the client."""
 
 
 def parse_command(ring: RingBuffer) -> list[bytes] | None:
-    """The next whole command, taken from the ring, or None until more has come in."""
-    at = 0
+    """Remove the next complete command from the ring and return it, or None if it is incomplete."""
+    offset = 0
 
-    def number(sign: bytes, least: int, most: int) -> int | None:
-        """The number on the next line behind its sign; None if the line is not whole yet."""
-        nonlocal at
-        line = ring.peek(LINE_MOST, at)
+    def parse_number(type_byte: bytes, minimum: int, maximum: int) -> int | None:
+        """Parse the next line, a type byte and a number; None if the line is incomplete."""
+        nonlocal offset
+        line = ring.peek(MAX_LINE_BYTES, offset)
         end = line.find(b"\r\n")
-        if line and line[:1] != sign:
-            raise RespError(f"Protocol error: expected {sign.decode()!r}")
+        if line and line[:1] != type_byte:
+            raise RespError(f"Protocol error: expected {type_byte.decode()!r}")
         if end < 0:
-            if len(line) == LINE_MOST:
+            if len(line) == MAX_LINE_BYTES:
                 raise RespError("Protocol error: a line is too long")
             return None
         digits = line[1:end]
         if not digits.isdigit():
             raise RespError("Protocol error: not a length")
         value = int(digits)
-        if not least <= value <= most:
+        if not minimum <= value <= maximum:
             raise RespError("Protocol error: a length is out of range")
-        at += end + 2
+        offset += end + 2
         return value
 
-    count = number(b"*", 1, WORDS_MOST)
+    count = parse_number(b"*", 1, MAX_ARGUMENTS)
     if count is None:
         return None
-    words: list[bytes] = []
+    arguments: list[bytes] = []
     for _ in range(count):
-        size = number(b"$", 0, BULK_MOST)
-        if size is not None and at + size + 2 > ring.limit:
-            # Guards against a command that could never be whole in its ring.
+        size = parse_number(b"$", 0, MAX_BULK_STRING_BYTES)
+        if size is not None and offset + size + 2 > ring.limit:
+            # The command would never fit in the ring, so it would be waited for without end.
             raise RespError("Protocol error: the command is too long")
-        if size is None or len(ring) < at + size + 2:
+        if size is None or len(ring) < offset + size + 2:
             return None
-        if ring.peek(2, at + size) != b"\r\n":
+        if ring.peek(2, offset + size) != b"\r\n":
             raise RespError("Protocol error: a bulk string has no end")
-        words.append(ring.peek(size, at))
-        at += size + 2
-    ring.read(at)
-    return words
+        arguments.append(ring.peek(size, offset))
+        offset += size + 2
+    ring.read(offset)
+    return arguments
 
 
-def simple(text: str) -> bytes:
-    """A simple string."""
+def simple_string(text: str) -> bytes:
+    """Encode a simple string."""
     return f"+{text}\r\n".encode()
 
 
-def error(text: str) -> bytes:
-    """An error; it must stand on one line."""
+def error_line(text: str) -> bytes:
+    """Encode an error. Line breaks are replaced, since an error is a single line."""
     return b"-" + " ".join(text.split()).encode("utf-8", "replace") + b"\r\n"
--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -19,7 +19,7 @@
 from rowanrack.app import Sender
 from rowanrack.config import Config, operator_config
 from rowanrack.consul import ConsulSource
-from rowanrack.fronts.platform.discovery import LIST_LIMIT, DiscoveryWatch
+from rowanrack.fronts.platform.discovery import MAX_LIST_BYTES, DiscoveryWatch
 from rowanrack.net.stream import Stream
 from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import instance
@@ -156,7 +156,7 @@
             case "no JSON":
                 wire.feed(re.sub(rb"\r\n\r\n.", b"\r\n\r\n?", whole))
             case "overlong":
-                wire.feed(whole.replace(b"Content-Length: ", b"Content-Length: %d" % LIST_LIMIT))
+                wire.feed(whole.replace(b"Content-Length: ", b"Content-Length: %d" % MAX_LIST_BYTES))
             case "endless":
                 wire.feed(re.sub(rb"Content-Length: \d+", b"Transfer-Encoding: chunked", whole))
                 for _ in range(8):
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -14,7 +14,7 @@
 
 from rowanrack.core.messages import Attempt, Batch, CallVerdict, End, Ending, Message
 from rowanrack.fronts.platform import bulk
-from rowanrack.fronts.platform.inbox import InboxForm, report
+from rowanrack.fronts.platform.inbox import InboxForm, parse_pressure
 from rowanrack.net.http import Reply, Request
 from rowanspindle import Result, UpdateScope
 from tests.rig import Rig, answers, instance, on_loop
@@ -43,14 +43,14 @@
 def test_a_body_never_outgrows_its_bound(sizes: list[int]) -> None:
     messages = [message(str(n), bytes(size)) for n, size in enumerate(sizes)]
     while messages:
-        count = bulk.fit(messages)
-        assert count == 1 or len(bulk.encode(messages[:count])) <= bulk.BODY_MOST
-        assert count == len(messages) or len(bulk.encode(messages[: count + 1])) > bulk.BODY_MOST
+        count = bulk.count_that_fit(messages)
+        assert count == 1 or len(bulk.encode(messages[:count])) <= bulk.MAX_BODY_BYTES
+        assert count == len(messages) or len(bulk.encode(messages[: count + 1])) > bulk.MAX_BODY_BYTES
         messages = messages[count:]
 
 
 def test_a_body_names_no_message_twice() -> None:
-    assert bulk.fit([message("a"), message("b"), message("a")]) == 2
+    assert bulk.count_that_fit([message("a"), message("b"), message("a")]) == 2
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
 def test_a_report_is_read_and_what_cannot_be_is_left_out(
     header: str, told: tuple[float | None, float | None]
 ) -> None:
-    assert report({"x-pressure": header}, ("x0", "x1")) == told
+    assert parse_pressure({"x-pressure": header}, ("x0", "x1")) == told
 
 
 def test_only_the_fields_that_the_settings_name_are_read() -> None:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from rowanrack.consul import ConsulError, ConsulSource, next_index, read_instances, status_of
+from rowanrack.consul import ConsulError, ConsulSource, next_index, parse_endpoints, status_of
 from rowanrack.net.http import Reply, Request
 from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import HttpStandIn, Rig, answers, on_loop
@@ -74,9 +74,9 @@
 
 
 def test_an_instance_without_its_meta_is_left_out(caplog: pytest.LogCaptureFixture) -> None:
-    assert read_instances([listed("a", 1, rate="x"), {}]) == []
+    assert parse_endpoints([listed("a", 1, rate="x"), {}]) == []
     assert caplog.text.count("left out") == 2
-    (one,) = read_instances([listed("a", 1, zone="z")])
+    (one,) = parse_endpoints([listed("a", 1, zone="z")])
     assert (one.name, one.host, one.port, one.zone, one.dest, one.rate) == ("n/a", "127.0.0.1", 1, "z", 7, 50)
 
 
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -532,7 +532,7 @@
     first = asyncio.ensure_future(kept.watch.first())
     await kept.run(0.02)
     assert first.done() and "i9" in kept.exchange.table.names() and kept.known_s is not None
-    for plan, until_s in (((), 0.02), ((silent,), discovery.FIRST_US / SECOND_US + 0.02)):
+    for plan, until_s in (((), 0.02), ((silent,), discovery.FIRST_LIST_TIMEOUT_US / SECOND_US + 0.02)):
         none = keeper(*plan, news_s=99.0)  # nothing new, or discovery that is not there, holds nothing up
         none.watch = DiscoveryWatch(none.exchange, "discovery", OLD, 5, pushed=True)
         first = asyncio.ensure_future(none.watch.first())
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -504,11 +504,11 @@
     async with Rig(tmp_path, silent) as rig:
         notices = rig.sender.notices
         assert notices is not None
-        while not notices._lines[0].idle:
+        while not notices._connections[0].idle:
             await asyncio.sleep(0)
         notices.ended(Message("m1", "c", "t", 7, 0, b"", "platform"), End(Ending.FAILED))
         notices.flush()
-        line = notices._lines[0]
+        line = notices._connections[0]
         assert "m1" in line.batch and line.caller is not None
         assert line.caller.stream._writer.transport.get_write_buffer_size() == 0
         await rig.platform.notice("m1")
--- a/tests/test_mgmt.py
+++ b/tests/test_mgmt.py
@@ -17,7 +17,7 @@
 
 from rowanrack.core.messages import End, Ending, Message
 from rowanrack.core.metrics import Metrics
-from rowanrack.fronts.mgmt.calls import answer, answer_in_time
+from rowanrack.fronts.mgmt.calls import answer_locally, answer_with_channels
 from rowanrack.net.http import Request
 from rowanrack.store.bans import BanFile
 from rowanrack.store.journal import Journal, JournalError
@@ -75,17 +75,17 @@
     ],
 )
 def test_each_call_has_its_answer(method: str, target: str, body: bytes, status: int) -> None:
-    assert asyncio.run(answer_in_time(Request(method, target, {}, body), Ops())).status == status
+    assert asyncio.run(answer_with_channels(Request(method, target, {}, body), Ops())).status == status
 
 
 def test_ready_turns_and_lame_duck_is_passed_on() -> None:
     ops = Ops()
     ops.is_ready = False
-    reply = answer(Request("GET", "/_ready", {}, b""), ops)
+    reply = answer_locally(Request("GET", "/_ready", {}, b""), ops)
     assert reply.status == 503 and reply.body == b"not ready: lame duck\n"
-    answer(Request("POST", "/_lameduck/on", {}, b""), ops)
+    answer_locally(Request("POST", "/_lameduck/on", {}, b""), ops)
     assert ops.lame
-    answer(Request("POST", "/_lameduck/off", {}, b""), ops)
+    answer_locally(Request("POST", "/_lameduck/off", {}, b""), ops)
     assert not ops.lame
 
 
@@ -144,13 +144,13 @@
         detach = Request("POST", "/_endpoints/detach", {}, b'{"name":"i0"}')
         with monkeypatch.context() as disk:
             disk.setattr(os, "replace", full)
-            reply = answer(detach, rig.sender)
+            reply = answer_locally(detach, rig.sender)
             assert reply.status == 507 and b"No space left" in reply.body and reply.body.count(b"\n") == 1
             assert not rig.sender.exchange.table.listed("i0")
         while rig.sender.unkept:
             await asyncio.sleep(0.01)
         assert BanFile(tmp_path).changed() == {"i0"}
-        assert answer(detach, rig.sender).status == 200
+        assert answer_locally(detach, rig.sender).status == 200
         assert not [p for p in tmp_path.iterdir() if p.suffix == ".new"]
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,7 +15,7 @@
 from rowanrack.core.messages import End, Ending, Message
 from rowanrack.fronts.platform.clients import read_submit
 from rowanrack.fronts.platform.discovery import ListError, parse_list
-from rowanrack.fronts.platform.notices import notice_line
+from rowanrack.fronts.platform.notices import encode_notice
 from rowanrack.fronts.platform.resp import RespError, parse_command
 from rowanrack.net.ring import RingBuffer
 from rowanrack.store.journal import Journal, JournalError
@@ -137,7 +137,7 @@
     ],
 )
 def test_notices_are_written(end: End, notice: dict[str, object]) -> None:
-    assert json.loads(notice_line("m", end)) == notice
+    assert json.loads(encode_notice("m", end)) == notice
 
 
 def test_lists_are_read() -> None:
