--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -1,4 +1,4 @@
-"""Several messages in one call: its body, what its answers mean, and who waits for whom."""
+"""Bulk calls: encoding of the body, outcomes of answers, and attempts that share a call."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.rig import Rig, answers, instance, on_loop
 from tests.test_core import SECOND_US, Desk
 
-PLACE = instance("i0", 1)
+ENDPOINT = instance("i0", 1)
 
 
 def message(name: str, body: bytes = b"x", key: str = "") -> Message:
@@ -28,19 +28,19 @@
 
 
 def attempts(*names: str) -> list[Attempt]:
-    batch = Batch(PLACE)
-    batch.attempts = [Attempt(message(n), 0, PLACE, 0, SECOND_US, batch) for n in names]
+    batch = Batch(ENDPOINT)
+    batch.attempts = [Attempt(message(n), 0, ENDPOINT, 0, SECOND_US, batch) for n in names]
     return batch.attempts
 
 
-def test_the_body_holds_ids_keys_and_bodies_unchanged() -> None:
+def test_bulk_body_keeps_ids_keys_and_bodies_unchanged() -> None:
     doc = json.loads(bulk.encode([message("a", bytes(range(256)), "k=1"), message("b", b"")]))
     assert doc[0] == {"id": "a", "key": "k=1", "body": base64.b64encode(bytes(range(256))).decode()}
     assert doc[1] == {"id": "b", "body": ""}
 
 
 @given(st.lists(st.integers(0, 60_000), min_size=1, max_size=20))
-def test_a_body_never_outgrows_its_bound(sizes: list[int]) -> None:
+def test_bulk_body_fills_but_never_exceeds_the_size_limit(sizes: list[int]) -> None:
     messages = [message(str(n), bytes(size)) for n, size in enumerate(sizes)]
     while messages:
         count = bulk.count_that_fit(messages)
@@ -49,17 +49,17 @@
         messages = messages[count:]
 
 
-def test_a_body_names_no_message_twice() -> None:
+def test_bulk_body_contains_no_id_twice() -> None:
     assert bulk.count_that_fit([message("a"), message("b"), message("a")]) == 2
 
 
 @pytest.mark.parametrize(
-    ("doc", "found"),
+    ("doc", "expected"),
     [
         ([{"id": "a", "state": "ok"}, {"id": "b", "state": "later"}], ["ok", "later"]),
         ([{"id": "b", "state": "error"}, {"id": "a", "state": "gone"}], ["gone", "error"]),
-        ([{"id": "a", "state": "exhausted"}], ["exhausted", ""]),  # b is missing
-        ([{"id": "a", "state": "ok"}, {"id": "a", "state": "ok"}], ["", ""]),  # named twice
+        ([{"id": "a", "state": "exhausted"}], ["exhausted", ""]),  # no state for b
+        ([{"id": "a", "state": "ok"}, {"id": "a", "state": "ok"}], ["", ""]),  # two states for a
         ([{"id": "a", "state": "ok"}, {"id": "z", "state": "ok"}], ["ok", ""]),
         ([{"id": "a", "state": "fine"}, {"id": "b", "state": ["ok"]}], ["", ""]),
         ([{"id": "a"}, {"state": "ok"}, "ok", None, 7, {"id": ["b"], "state": "ok"}], ["", ""]),
@@ -67,24 +67,26 @@
         (None, ["", ""]),
     ],
 )
-def test_only_what_is_told_clearly_is_believed(doc: Any, found: list[str]) -> None:
-    assert bulk.states(json.dumps(doc).encode(), ["a", "b"]) == found
+def test_missing_repeated_or_malformed_states_are_ignored(doc: Any, expected: list[str]) -> None:
+    assert bulk.states(json.dumps(doc).encode(), ["a", "b"]) == expected
 
 
 @pytest.mark.parametrize(
-    ("body", "found"),
+    ("body", "expected"),
     [
         (b'[{"id":"a","state":"ok","state":"later"}]', ["", ""]),
         (b'[{"id":"b","id":"a","state":"later"}]', ["", ""]),
         (b"""[{"id":["b"],"state":"ok"},{"id":"['b']","state":"ok"}]""", ["", "ok"]),
     ],
 )
-def test_an_entry_that_can_be_read_in_two_ways_is_not_believed(body: bytes, found: list[str]) -> None:
-    """The last one counted; an id that is a list, beside one that reads like it, spoilt the whole answer."""
-    assert bulk.states(body, ["a", "['b']"]) == found
+def test_ambiguous_entries_are_ignored(body: bytes, expected: list[str]) -> None:
+    """Guards against two faults: of a repeated key the last value counted, and an id that is a list made the
+    whole answer unusable if another id had the same text.
+    """
+    assert bulk.states(body, ["a", "['b']"]) == expected
 
 
-LOOSE = st.recursive(
+ARBITRARY_JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=5) | st.sampled_from(["a", "ok"]),
     lambda inner: (
         st.lists(inner, max_size=4)
@@ -94,14 +96,14 @@
 )
 
 
-@given(LOOSE.map(lambda doc: json.dumps(doc).encode()) | st.binary(max_size=60))
-def test_any_answer_is_read_and_ok_is_never_made_up(body: bytes) -> None:
+@given(ARBITRARY_JSON.map(lambda doc: json.dumps(doc).encode()) | st.binary(max_size=60))
+def test_any_answer_is_parsed_and_ok_is_found_only_if_reported(body: bytes) -> None:
     found = bulk.states(body, ["a", "b"])
     assert len(found) == 2 and set(found) <= bulk.STATES | {""}
     if "ok" in found:
         assert any(
-            isinstance(i, dict) and i.get("id") in ("a", "b") and i.get("state") == "ok"
-            for i in json.loads(body)
+            isinstance(item, dict) and item.get("id") in ("a", "b") and item.get("state") == "ok"
+            for item in json.loads(body)
         )
 
 
@@ -118,16 +120,18 @@
         (400, {}, MOOT, 0),
         (413, {}, MOOT, 0),
         (404, {}, ERROR, 0),
-        (410, {}, ERROR, 0),  # one message may be over, never a call of several
+        (410, {}, ERROR, 0),  # 410 ends a single message, but has no meaning for a bulk call
         (302, {}, ERROR, 0),
     ],
 )
-def test_what_holds_for_all(status: int, headers: dict[str, str], result: Result, wait_us: int) -> None:
+def test_status_of_a_bulk_call_applies_to_all_attempts(
+    status: int, headers: dict[str, str], result: Result, wait_us: int
+) -> None:
     found = InboxForm().verdicts(attempts("a", "b"), Reply(status, headers, b'[{"id":"a","state":"ok"}]'))
     assert found == [CallVerdict(result, wait_us)] * 2
 
 
-def test_each_state_has_its_meaning_and_a_wait_holds_for_all() -> None:
+def test_each_state_maps_to_an_outcome_and_the_wait_applies_to_all() -> None:
     names = ["ok", "error", "later", "gone", "exhausted"]
     body = json.dumps([{"id": n, "state": n} for n in names]).encode()
     found = InboxForm().verdicts(attempts(*names, "none"), Reply(200, {"x-retry-in-ms": "40"}, body))
@@ -136,7 +140,7 @@
     assert [v.end for v in found] == [None, None, None, Ending.OVER, None, None]
 
 
-def test_one_that_is_cut_behind_its_first_line_is_no_delivery() -> None:
+def test_truncated_bulk_answer_delivers_nothing() -> None:
     body = b'[{"id":"a","state":"ok"},{"id":"b","state":"ok"}]'
     found = InboxForm().verdicts(attempts("a", "b"), Reply(200, {}, body, whole=False))
     assert found == [CallVerdict(RESET)] * 2
@@ -144,7 +148,7 @@
 
 
 @pytest.mark.parametrize("status", [400, 413])
-def test_behind_a_bulk_that_was_turned_down_they_go_singly(status: int) -> None:
+def test_after_a_rejected_bulk_call_messages_are_sent_singly(status: int) -> None:
     form, pair = InboxForm(), attempts("a", "b")
     assert form.part(pair) == 2
     form.verdicts(pair, Reply(status, {}))
@@ -152,7 +156,7 @@
 
 
 @pytest.mark.parametrize(
-    ("header", "told"),
+    ("header", "expected"),
     [
         ("x0=0.4,x1=25", (0.4, 25.0)),
         (" x1 = 25 ", (None, 25.0)),
@@ -164,58 +168,58 @@
         ("", (None, None)),
     ],
 )
-def test_a_report_is_read_and_what_cannot_be_is_left_out(
-    header: str, told: tuple[float | None, float | None]
+def test_pressure_header_is_parsed_and_invalid_values_are_ignored(
+    header: str, expected: tuple[float | None, float | None]
 ) -> None:
-    assert parse_pressure({"x-pressure": header}, ("x0", "x1")) == told
+    assert parse_pressure({"x-pressure": header}, ("x0", "x1")) == expected
 
 
-def test_only_the_fields_that_the_settings_name_are_read() -> None:
+def test_only_pressure_fields_named_in_the_settings_are_used() -> None:
     reply = Reply(200, {"x-pressure": "x0=0.4,x1=25"})
     assert InboxForm(("x1",)).verdicts(attempts("a"), reply) == [CallVerdict(Result.OK, 0, None, None, 25.0)]
     assert InboxForm().verdicts(attempts("a"), reply) == [CallVerdict(Result.OK)]
 
 
-# On sockets.
+# Tests with real sockets.
 
-BULKY = {"extra": {"slots": 8, "batch_by_kind": [20], "kind_apart": [False]}}
-REPORTING = {"report": {"how": "piggyback", "names": ["x0", "x1"]}}
+BULK_SETTINGS = {"extra": {"slots": 8, "batch_by_kind": [20], "kind_apart": [False]}}
+PRESSURE_SETTINGS = {"report": {"how": "piggyback", "names": ["x0", "x1"]}}
 
 
-def ids(request: Request) -> list[str]:
+def message_ids(request: Request) -> list[str]:
     if request.target != "/inbox/bulk":
         return [request.headers["x-txn"]]
     return [item["id"] for item in json.loads(request.body)]
 
 
 async def all_ok(request: Request) -> Reply:
-    """An instance that takes what it gets."""
-    body = json.dumps([{"id": i, "state": "ok"} for i in ids(request)]).encode()
+    """Behave as an endpoint that accepts every message."""
+    body = json.dumps([{"id": i, "state": "ok"} for i in message_ids(request)]).encode()
     return Reply(200, {"X-Pressure": "x0=0.5,x1=30"}, body)
 
 
-async def hand_in(rig: Rig, *names: str, cls: str = "album-update", key: str = "") -> None:
-    """Hand messages in, all in one turn of the sender's loop."""
+async def submit_together(rig: Rig, *names: str, cls: str = "album-update", key: str = "") -> None:
+    """Submit messages in one iteration of the sender's event loop."""
     exchange = rig.sender.exchange
     for name in names:
-        due = exchange.clock.unix_us() + 3 * SECOND_US
-        exchange.submit(Message(name, cls, "a", 7, due, b"body", "platform", key=key and key + name))
+        deadline_us = exchange.clock.unix_us() + 3 * SECOND_US
+        exchange.submit(Message(name, cls, "a", 7, deadline_us, b"body", "platform", key=key and key + name))
     exchange.pump()
 
 
 @on_loop
-async def test_the_messages_of_one_turn_travel_in_one_call(tmp_path: Path) -> None:
-    async with Rig(tmp_path, all_ok, given=BULKY | REPORTING) as rig:
-        told: list[tuple[float | None, float | None]] = []
+async def test_messages_submitted_in_one_loop_iteration_share_one_call(tmp_path: Path) -> None:
+    async with Rig(tmp_path, all_ok, given=BULK_SETTINGS | PRESSURE_SETTINGS) as rig:
+        reported: list[tuple[float | None, float | None]] = []
         settle = rig.sender.exchange.settle
 
-        def see(attempt: Attempt, verdict: CallVerdict | Result) -> None:
+        def record_verdict(attempt: Attempt, verdict: CallVerdict | Result) -> None:
             assert isinstance(verdict, CallVerdict)
-            told.append((verdict.left, verdict.limit))
+            reported.append((verdict.left, verdict.limit))
             settle(attempt, verdict)
 
-        rig.sender.exchange.settle = see  # type: ignore[method-assign]
-        await hand_in(rig, "a", "b", "c", cls="entry-fee", key="k")
+        rig.sender.exchange.settle = record_verdict  # type: ignore[method-assign]
+        await submit_together(rig, "a", "b", "c", cls="entry-fee", key="k")
         for name in "abc":
             assert await rig.ended(name) == End(Ending.DELIVERED)
         (request,) = rig.servers[0].requests
@@ -223,60 +227,61 @@
         assert request.target == "/inbox/bulk" and {i["id"]: i["key"] for i in doc} == {
             n: "k" + n for n in "abc"
         }
-        assert told == [(0.5, 30.0)] * 3
+        assert reported == [(0.5, 30.0)] * 3
 
 
 @on_loop
-async def test_a_body_that_is_too_long_is_split(tmp_path: Path) -> None:
-    async with Rig(tmp_path, all_ok, given=BULKY) as rig:
+async def test_messages_over_the_body_limit_are_sent_in_several_calls(tmp_path: Path) -> None:
+    async with Rig(tmp_path, all_ok, given=BULK_SETTINGS) as rig:
         exchange = rig.sender.exchange
         for name in "abc":
-            due = exchange.clock.unix_us() + 3 * SECOND_US
-            exchange.submit(Message(name, "album-update", "a", 7, due, bytes(30_000), "platform"))
+            deadline_us = exchange.clock.unix_us() + 3 * SECOND_US
+            exchange.submit(Message(name, "album-update", "a", 7, deadline_us, bytes(30_000), "platform"))
         exchange.pump()
         for name in "abc":
             assert await rig.ended(name) == End(Ending.DELIVERED)
         calls = rig.servers[0].requests
-        assert [len(ids(c)) for c in calls] == [1, 1, 1] and rig.servers[0].connections == 1
+        assert [len(message_ids(call)) for call in calls] == [1, 1, 1] and rig.servers[0].connections == 1
 
 
 @on_loop
-async def test_each_message_has_its_own_end(tmp_path: Path) -> None:
-    async def mixed(request: Request) -> Reply:
+async def test_each_message_of_a_bulk_call_ends_by_its_own_state(tmp_path: Path) -> None:
+    async def answer_by_id(request: Request) -> Reply:
         states = {"a": "ok", "b": "gone", "c": "error"}
         if request.target != "/inbox/bulk":
             return Reply(200, {})
         return Reply(
-            200, {}, json.dumps([{"id": i, "state": states.get(i, "ok")} for i in ids(request)]).encode()
+            200,
+            {},
+            json.dumps([{"id": i, "state": states.get(i, "ok")} for i in message_ids(request)]).encode(),
         )
 
-    async with Rig(tmp_path, mixed, given=BULKY) as rig:
-        await hand_in(rig, "a", "b", "c", cls="print-order")
+    async with Rig(tmp_path, answer_by_id, given=BULK_SETTINGS) as rig:
+        await submit_together(rig, "a", "b", "c", cls="print-order")
         assert await rig.ended("a") == End(Ending.DELIVERED)
         assert await rig.ended("b") == End(Ending.OVER)
-        assert await rig.ended("c") == End(Ending.FAILED)  # it may have run, and may not be repeated
+        assert await rig.ended("c") == End(Ending.FAILED)  # it may have run, and its class forbids a retry
         assert set(rig.sender.journal.owed) == set()
 
 
 @pytest.mark.parametrize("status", [400, 413])
 @on_loop
-async def test_messages_of_a_bulk_that_was_turned_down_are_delivered_singly(
-    tmp_path: Path, status: int
-) -> None:
-    async def picky(request: Request) -> Reply:
+async def test_messages_of_a_rejected_bulk_call_are_delivered_singly(tmp_path: Path, status: int) -> None:
+    async def reject_bulk_calls(request: Request) -> Reply:
         return Reply(status if request.target == "/inbox/bulk" else 200, {})
 
-    async with Rig(tmp_path, picky, given=BULKY) as rig:
-        await hand_in(rig, "a", "b", cls="print-order")
+    async with Rig(tmp_path, reject_bulk_calls, given=BULK_SETTINGS) as rig:
+        await submit_together(rig, "a", "b", cls="print-order")
         assert [await rig.ended(n) for n in "ab"] == [End(Ending.DELIVERED)] * 2
         assert [c.target for c in rig.servers[0].requests] == ["/inbox/bulk", "/inbox", "/inbox"]
 
 
 @on_loop
-async def test_an_answer_cut_at_any_byte_delivers_none_and_repeats_no_order(tmp_path: Path) -> None:
-    body = b'[{"id":"a","state":"ok"},{"id":"b","state":"ok"}]' + b" " * 10  # readable before its end
+async def test_bulk_answer_truncated_at_any_byte_delivers_nothing_and_causes_no_retry(tmp_path: Path) -> None:
+    # Padded, so that the JSON is complete before the end of the body.
+    body = b'[{"id":"a","state":"ok"},{"id":"b","state":"ok"}]' + b" " * 10
     whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    async with Rig(tmp_path, answers(Reply(200, {})), given=BULKY) as rig:
+    async with Rig(tmp_path, answers(Reply(200, {})), given=BULK_SETTINGS) as rig:
         calls = 0
         for cut in range(0, len(whole) + 1):
 
@@ -298,41 +303,42 @@
             exchange.list_instances(UpdateScope.DELTA, [instance(f"s{cut}", port, dest)])
             names = [f"a{cut:03d}", f"b{cut:03d}"]
             for name in names:
-                due = exchange.clock.unix_us() + 3 * SECOND_US
-                exchange.submit(Message(name, "print-order", "a", dest, due, b"x", "platform"))
+                deadline_us = exchange.clock.unix_us() + 3 * SECOND_US
+                exchange.submit(Message(name, "print-order", "a", dest, deadline_us, b"x", "platform"))
             exchange.pump()
             ends = [(await rig.ended(name)).ending for name in names]
             assert ends == [Ending.DELIVERED if cut == len(whole) else Ending.FAILED] * 2, cut
             server.close()
-        assert calls == len(whole) + 1  # none was sent again
+        assert calls == len(whole) + 1  # no retries
 
 
-# Who waits for whom.
+# Attempts that share a call.
 
 
-def bulk_desk(folder: Path) -> Desk:
-    return Desk(folder, BULKY)
+def desk_with_bulk_calls(folder: Path) -> Desk:
+    return Desk(folder, BULK_SETTINGS)
 
 
-def test_giving_one_message_up_does_not_cut_the_others_off(tmp_path: Path) -> None:
-    """A time-out closed the connection, and what else was on it may have run for nothing."""
-    desk = bulk_desk(tmp_path)
-    for name, left in (("a", 3 * SECOND_US), ("b", SECOND_US)):
-        desk.exchange.submit(Message(name, "print-order", "a", 7, desk.now + left, b"x", "platform"))
+def test_giving_up_one_message_keeps_the_call_open_for_the_others(tmp_path: Path) -> None:
+    """Guards against a time-out of one message that closed the connection under the others of its call."""
+    desk = desk_with_bulk_calls(tmp_path)
+    for name, left_us in (("a", 3 * SECOND_US), ("b", SECOND_US)):
+        desk.exchange.submit(Message(name, "print-order", "a", 7, desk.now + left_us, b"x", "platform"))
     desk.run(10_000)
     first, second = desk.calls
     assert first.batch is second.batch and desk.exchange.begin(first) and desk.exchange.begin(second)
     desk.run(SECOND_US + 100_000)
     assert desk.ends == {"b": End(Ending.FAILED)} and not desk.abandoned
-    assert not second.settled and len(desk.calls) == 2  # it may still run: no other attempt is out
+    # The call goes on, so the message may still run, and there is no other attempt.
+    assert not second.settled and len(desk.calls) == 2
     desk.exchange.settle(first, Result.OK)
     desk.exchange.settle(second, Result.OK)
     desk.run(SECOND_US)
     assert desk.ends == {"a": End(Ending.DELIVERED), "b": End(Ending.FAILED)}
 
 
-def test_the_call_is_given_up_with_its_last_message(tmp_path: Path) -> None:
-    desk = bulk_desk(tmp_path)
+def test_call_is_abandoned_when_its_last_message_is_given_up(tmp_path: Path) -> None:
+    desk = desk_with_bulk_calls(tmp_path)
     for name in "ab":
         desk.exchange.submit(
             Message(name, "album-update", "a", 7, desk.now + 20 * SECOND_US, b"x", "platform")
@@ -346,8 +352,8 @@
     assert desk.abandoned == pair and all(e.settled for e in pair)
 
 
-def test_one_that_waits_for_its_connection_leaves_its_batch_at_once(tmp_path: Path) -> None:
-    desk = bulk_desk(tmp_path)
+def test_attempt_waiting_for_a_connection_leaves_its_batch_when_given_up(tmp_path: Path) -> None:
+    desk = desk_with_bulk_calls(tmp_path)
     for name in "ab":
         desk.exchange.submit(
             Message(name, "album-update", "a", 7, desk.now + 20 * SECOND_US, b"x", "platform")
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -1,4 +1,4 @@
-"""Consul as a source of the name table, against a stand-in for its agent."""
+"""Consul as a source of the endpoint list, tested against a fake agent."""
 
 from __future__ import annotations
 
@@ -17,44 +17,44 @@
 OK = Reply(200, {})
 
 
-class Agent(HttpStandIn):
-    """An agent: each path's answers in turn; a query with none left blocks."""
+class FakeAgent(HttpStandIn):
+    """A fake agent that gives the answers of each path in turn and then blocks."""
 
     def __init__(self, **paths: list[tuple[int, Any]]) -> None:
         super().__init__(self._behave)
         self.paths = paths
 
     async def _behave(self, request: Request) -> Reply | None:
-        left = self.paths[request.target.split("?")[0].rsplit("/", 1)[1]]
-        if not left:
+        remaining_answers = self.paths[request.target.split("?")[0].rsplit("/", 1)[1]]
+        if not remaining_answers:
             await asyncio.Event().wait()
-        index, doc = left.pop(0)
+        index, doc = remaining_answers.pop(0)
         if index < 0:
             return Reply(500, {})
         return Reply(200, {"X-Consul-Index": str(index)}, json.dumps(doc).encode())
 
 
-def listed(name: str, port: int, *checks: str, **meta: str) -> dict[str, Any]:
-    """An instance as the health API lists it."""
+def health_entry(name: str, port: int, *checks: str, **meta: str) -> dict[str, Any]:
+    """Build an endpoint as the health API lists it."""
     service = {
         "ID": name,
         "Address": "",
         "Port": port,
         "Meta": {"dest": "7", "kind": "print-lab", "rate": "50"} | meta,
     }
-    found = [{"CheckID": check, "Status": "critical"} for check in checks]
-    return {"Node": {"Node": "n", "Address": "127.0.0.1"}, "Service": service, "Checks": found}
+    check_list = [{"CheckID": check, "Status": "critical"} for check in checks]
+    return {"Node": {"Node": "n", "Address": "127.0.0.1"}, "Service": service, "Checks": check_list}
 
 
 @pytest.mark.parametrize(
     ("last", "header", "index"), [(0, "0", 1), (0, "5", 5), (5, "5", 5), (5, "9", 9), (9, "5", 0)]
 )
-def test_the_index_follows_the_rules_of_reset(last: int, header: str, index: int) -> None:
+def test_index_starts_again_when_it_went_backwards(last: int, header: str, index: int) -> None:
     assert next_index(last, header) == index
 
 
 @pytest.mark.parametrize("header", ["", "x", "-1"])
-def test_an_answer_without_an_index_cannot_be_used(header: str) -> None:
+def test_answer_without_a_valid_index_is_rejected(header: str) -> None:
     with pytest.raises(ConsulError):
         next_index(0, header)
 
@@ -69,26 +69,35 @@
         ([{"CheckID": "_service_maintenance:i0", "Status": "critical"}], EndpointStatus.DRAINING),
     ],
 )
-def test_maintenance_means_draining(checks: list[dict[str, str]], status: EndpointStatus) -> None:
+def test_maintenance_or_a_critical_check_means_draining(
+    checks: list[dict[str, str]], status: EndpointStatus
+) -> None:
     assert status_of(checks) is status
 
 
-def test_an_instance_without_its_meta_is_left_out(caplog: pytest.LogCaptureFixture) -> None:
-    assert parse_endpoints([listed("a", 1, rate="x"), {}]) == []
+def test_endpoint_without_valid_metadata_is_left_out(caplog: pytest.LogCaptureFixture) -> None:
+    assert parse_endpoints([health_entry("a", 1, rate="x"), {}]) == []
     assert caplog.text.count("left out") == 2
-    (one,) = parse_endpoints([listed("a", 1, zone="z")])
-    assert (one.name, one.host, one.port, one.zone, one.dest, one.rate) == ("n/a", "127.0.0.1", 1, "z", 7, 50)
+    (endpoint,) = parse_endpoints([health_entry("a", 1, zone="z")])
+    assert (endpoint.name, endpoint.host, endpoint.port, endpoint.zone, endpoint.dest, endpoint.rate) == (
+        "n/a",
+        "127.0.0.1",
+        1,
+        "z",
+        7,
+        50,
+    )
 
 
 @on_loop
-async def test_the_catalogue_leads_to_instances_that_take_messages(tmp_path: Path) -> None:
+async def test_endpoints_of_tagged_services_get_messages_unless_in_maintenance(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK), answers(OK)) as rig:
         first, second = (s.port for s in rig.servers)
         labs = [
-            (4, [listed("a", first), listed("b", second)]),
-            (6, [listed("a", first, "_service_maintenance:a"), listed("b", second)]),
+            (4, [health_entry("a", first), health_entry("b", second)]),
+            (6, [health_entry("a", first, "_service_maintenance:a"), health_entry("b", second)]),
         ]
-        agent = Agent(services=[(3, {"labs": ["sender"], "other": []})], labs=labs)
+        agent = FakeAgent(services=[(3, {"labs": ["sender"], "other": []})], labs=labs)
         async with agent:
             rig.sender.exchange.list_instances(UpdateScope.FULL, ())
             source = ConsulSource(rig.sender.exchange, ("127.0.0.1", agent.port), (), "sender")
@@ -108,14 +117,16 @@
 
 
 @on_loop
-async def test_after_a_failure_or_a_reset_it_asks_from_the_start(tmp_path: Path) -> None:
+async def test_after_a_failure_or_an_index_reset_queries_start_again_from_0(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
-        agent = Agent(labs=[(8, [listed("a", 1)]), (-1, None), (9, [listed("b", 1)]), (2, []), (3, [])])
+        agent = FakeAgent(
+            labs=[(8, [health_entry("a", 1)]), (-1, None), (9, [health_entry("b", 1)]), (2, []), (3, [])]
+        )
         async with agent:
             source = ConsulSource(rig.sender.exchange, ("127.0.0.1", agent.port), ("labs",), "")
             rig.callback(source.close)
             source.start()
             await agent.asked(6)
-            asked = [int(r.target.partition("index=")[2].partition("&")[0]) for r in agent.requests]
-            assert asked == [0, 8, 0, 9, 0, 3]
+            indexes = [int(r.target.partition("index=")[2].partition("&")[0]) for r in agent.requests]
+            assert indexes == [0, 8, 0, 9, 0, 3]
             assert not rig.sender.exchange.table.names()
--- a/tests/test_otlp.py
+++ b/tests/test_otlp.py
@@ -1,4 +1,4 @@
-"""The OTLP front against stand-ins: one path from an export request to an OTLP server and back."""
+"""The OTLP front: export requests from a client to a fake OTLP server, and the answers back."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def logs(text: str = "hello", **attributes: str) -> bytes:
-    """An export request with one record."""
+    """Build an export request with one log record."""
     request = ExportLogsServiceRequest()
     item = request.resource_logs.add()
     for key, value in attributes.items():
@@ -48,7 +48,7 @@
 
 
 SPAN = {"spanId": "eee19b7ec3c1b174"}
-AS_JSON = json.dumps(
+TRACES_JSON = json.dumps(
     {
         "resourceSpans": [
             {
@@ -67,19 +67,19 @@
     ("path", "kind", "body"),
     [
         ("/v1/logs", PROTOBUF, logs()),
-        ("/v1/traces", JSON, AS_JSON),
+        ("/v1/traces", JSON, TRACES_JSON),
         ("/v1/metrics", JSON, b"{}"),
         ("/v1/metrics", PROTOBUF, b""),
     ],
 )
-@pytest.mark.parametrize("packed", [False, True])
+@pytest.mark.parametrize("compressed", [False, True])
 @on_loop
-async def test_an_export_is_delivered_as_it_came(
-    tmp_path: Path, path: str, kind: str, body: bytes, packed: bool
+async def test_export_request_is_delivered_unchanged(
+    tmp_path: Path, path: str, kind: str, body: bytes, compressed: bool
 ) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
-        headers = {"content_type": kind} | ({"content_encoding": "gzip"} if packed else {})
-        reply = await rig.export(gzip.compress(body) if packed else body, path, **headers)
+        headers = {"content_type": kind} | ({"content_encoding": "gzip"} if compressed else {})
+        reply = await rig.export(gzip.compress(body) if compressed else body, path, **headers)
         assert (reply.status, reply.headers["content-type"]) == (200, kind)
         assert reply.body == (b"{}" if kind == JSON else b"")
         (call,) = await rig.servers[0].asked(1)
@@ -106,20 +106,22 @@
     ],
 )
 @on_loop
-async def test_what_cannot_be_taken_is_answered_plainly(
+async def test_invalid_request_gets_an_error_status_and_no_call(
     tmp_path: Path, path: str, headers: dict[str, str], body: bytes, status: int
 ) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         reply = await rig.export(body, path, **headers)
         assert reply.status == status and not rig.servers[0].requests
         kind = JSON if headers.get("content_type") == JSON else PROTOBUF
-        said = parse_message(status_pb2.Status(), reply.body, kind)
-        assert isinstance(said, status_pb2.Status) and said.code and said.message
+        status_message = parse_message(status_pb2.Status(), reply.body, kind)
+        assert (
+            isinstance(status_message, status_pb2.Status) and status_message.code and status_message.message
+        )
 
 
 @pytest.mark.parametrize("data", [b"*1\r\n\r\n", b"GET / HTTP/9\r\n\r\n", bytes(20_000)])
 @on_loop
-async def test_what_is_no_http_ends_only_its_connection(tmp_path: Path, data: bytes) -> None:
+async def test_input_that_is_not_http_closes_only_its_connection(tmp_path: Path, data: bytes) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         stream = await rig.connect(1)
         await stream.send(data)
@@ -143,7 +145,7 @@
     ],
 )
 @on_loop
-async def test_what_the_servers_answers_mean(
+async def test_each_answer_of_the_server_leads_to_a_retry_or_a_status(
     tmp_path: Path, reply: Reply | None, cls: str, status: int, calls: int
 ) -> None:
     async with Rig(tmp_path, answers(reply, OK)) as rig:
@@ -155,7 +157,7 @@
 
 
 @on_loop
-async def test_a_refusal_says_when_to_come_again_and_a_failure_does_not(tmp_path: Path) -> None:
+async def test_refusal_has_a_retry_after_header_and_a_failure_has_none(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent, most_held=1) as rig:
         rig.once_listed(99)
         refused = await rig.export(logs(dest="99"), x_left_ms="200")
@@ -172,14 +174,14 @@
 
 
 @on_loop
-async def test_a_client_that_left_asks_again_and_gets_the_one_answer(tmp_path: Path) -> None:
-    gate = asyncio.Event()
+async def test_client_that_reconnects_gets_the_answer_of_its_first_request(tmp_path: Path) -> None:
+    answer_now = asyncio.Event()
 
-    async def when_open(_request: object) -> Reply:
-        await gate.wait()
+    async def answer_when_set(_request: object) -> Reply:
+        await answer_now.wait()
         return OK
 
-    async with Rig(tmp_path, when_open) as rig:
+    async with Rig(tmp_path, answer_when_set) as rig:
         stream = await rig.connect(1)
         headers = (("Content-Type", PROTOBUF), ("X-Id", "e1"))
         first = asyncio.create_task(
@@ -189,7 +191,7 @@
         first.cancel()
         stream.abort()
         again = asyncio.create_task(rig.export(logs(), x_id="e1"))
-        gate.set()
+        answer_now.set()
         assert (await again).status == 200
         assert (await rig.export(logs(), x_id="e1")).status == 200
         assert len(rig.servers[0].requests) == 1
@@ -197,7 +199,7 @@
 
 @pytest.mark.parametrize(("reply", "status"), [(OK, 200), (Reply(400, {}), 500)])
 @on_loop
-async def test_the_answer_outlasts_a_restart(tmp_path: Path, reply: Reply, status: int) -> None:
+async def test_answer_is_repeated_after_a_restart(tmp_path: Path, reply: Reply, status: int) -> None:
     async with Rig(tmp_path, answers(reply)) as rig:
         assert (await rig.export(logs())).status == status
         rig.sender.close()
@@ -207,7 +209,7 @@
 
 
 @on_loop
-async def test_a_call_cut_off_by_a_restart_has_one_end(tmp_path: Path) -> None:
+async def test_call_interrupted_by_a_restart_fails_without_a_retry(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         asking = asyncio.create_task(rig.export(logs()))
         await rig.servers[0].asked(1)
@@ -219,7 +221,7 @@
 
 
 @on_loop
-async def test_a_partial_success_is_delivered_and_logged(
+async def test_partial_success_counts_as_delivered_and_is_logged(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     partial = ExportLogsPartialSuccess(rejected_log_records=1, error_message="too old")
@@ -230,14 +232,16 @@
 
 
 @on_loop
-async def test_both_fronts_side_by_side_end_alike(tmp_path: Path) -> None:
-    """The same messages on both fronts of one sender: as many are delivered, refused and failed on each."""
+async def test_equal_messages_end_alike_on_both_fronts(tmp_path: Path) -> None:
+    """Send equal messages to both fronts of one sender: the counts of each ending must be the same."""
     script = [OK, Reply(503, {}), OK, None, None, OK]
     cases = [(cls, True) for cls in ("print-order", "album-update") * 2]
     cases += [("print-order", True), ("album-update", False)]
     async with Rig(tmp_path, answers(*script), answers(*script)) as rig:
-        near, far = rig.known
-        rig.sender.exchange.list_instances(UpdateScope.FULL, [near, replace(far, dest=8)])
+        first_endpoint, second_endpoint = rig.known
+        rig.sender.exchange.list_instances(
+            UpdateScope.FULL, [first_endpoint, replace(second_endpoint, dest=8)]
+        )
         rig.once_listed(98, 99)
 
         async def by_resp() -> None:
@@ -248,8 +252,8 @@
 
         async def by_otlp() -> None:
             for n, (cls, reached) in enumerate(cases):
-                body, left = logs(str(n), dest="8" if reached else "99"), "3000" if reached else "300"
-                await rig.export(body, x_class=cls, x_left_ms=left, x_id=f"otlp{n}")
+                body, left_ms = logs(str(n), dest="8" if reached else "99"), "3000" if reached else "300"
+                await rig.export(body, x_class=cls, x_left_ms=left_ms, x_id=f"otlp{n}")
 
         await asyncio.gather(by_resp(), by_otlp())
         counts = [Counter(e.ending for i, e in rig.ends if i.startswith(f)) for f in ("resp", "otlp")]
@@ -270,17 +274,17 @@
         ("99999999999", 3_600_000_000),
     ],
 )
-def test_retry_after_is_read(text: str, wait_us: int) -> None:
+def test_retry_after_header_is_parsed(text: str, wait_us: int) -> None:
     assert retry_after_us(text, datetime(2026, 12, 1, 10, tzinfo=UTC)) == wait_us
 
 
-def test_json_ids_are_hex() -> None:
-    request = parse_message(SIGNALS["/v1/traces"].request(), AS_JSON, JSON)
+def test_ids_in_json_are_parsed_as_hex() -> None:
+    request = parse_message(SIGNALS["/v1/traces"].request(), TRACES_JSON, JSON)
     spans = json_format.MessageToDict(request)["resourceSpans"][0]["scopeSpans"][0]["spans"]
     assert spans[0]["spanId"] == "7uGbfsPBsXQ="
 
 
-def test_encodings_are_known_by_name() -> None:
+def test_media_type_and_content_encoding_are_parsed() -> None:
     assert media_type("application/json; charset=utf-8") == JSON
     assert decompressed_body(b"x", "Identity", 9) == b"x"
     with pytest.raises(OtlpError):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's rules, one real-socket test for each."""
+"""The platform front: each rule of its protocol, tested on real sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @on_loop
-async def test_a_message_is_passed_on_unchanged(tmp_path: Path) -> None:
+async def test_message_is_delivered_unchanged(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         client, body = await rig.client(), bytes(range(256)) * 200
         assert await client.command("PING") == b"+PONG\r\n"
@@ -31,8 +31,8 @@
 
 
 @on_loop
-async def test_one_connection_carries_calls_in_turn(tmp_path: Path) -> None:
-    """Reusing a connection before its idle watch had ended broke each second call."""
+async def test_connection_is_reused_for_successive_calls(tmp_path: Path) -> None:
+    """Guards against reuse of a connection whose idle watch still runs, which broke every second call."""
     async with Rig(tmp_path, answers(OK)) as rig:
         client = await rig.client()
         for n in range(1, 5):
@@ -42,7 +42,7 @@
 
 
 @on_loop
-async def test_idle_connections_stay_under_their_limit(tmp_path: Path) -> None:
+async def test_idle_connections_over_the_limit_are_closed(tmp_path: Path) -> None:
     async with Rig(tmp_path, *(answers(OK) for _ in range(4))) as rig:
         rig.sender.pool._idle_most = 2
         rig.sender.exchange.list_instances(
@@ -55,62 +55,64 @@
         assert [bool(rig.sender.pool.idle[f"i{n}"]) for n in range(4)] == [False, False, True, True]
 
 
-@pytest.mark.parametrize(("read", "taken"), [(True, 1), (False, 0)])
+@pytest.mark.parametrize(("read", "accepted"), [(True, 1), (False, 0)])
 @on_loop
-async def test_a_request_that_crosses_the_closing_is_answered_or_not_taken(
-    tmp_path: Path, read: bool, taken: int
+async def test_request_at_a_drain_is_accepted_only_if_already_received(
+    tmp_path: Path, read: bool, accepted: int
 ) -> None:
-    """It was taken after the closing, and again elsewhere, where the client handed it in anew."""
+    """Guards against a duplicate: a message accepted after the connection was closed, which the client had
+    submitted to another sender as well.
+    """
     async with Rig(tmp_path, silent) as rig:
         client = await rig.client()
         assert await client.command("PING") == b"+PONG\r\n"
-        (served,) = rig.sender.fronts[0][0].streams
+        (server_stream,) = rig.sender.fronts[0][0].streams
         request = resp("SUBMIT", "0", "m1", "c=album-update,t=a,d=3000,dest=7", "x")
         if read:
-            served._reader.feed_data(request)  # come in, and not yet read
+            server_stream._reader.feed_data(request)  # received, but not yet read by the front
         rig.sender.fronts[0][0].drain()
         if not read:
-            served._reader.feed_data(request)
-        assert await client.raw(b"") == b"+OK\r\n" * taken
+            server_stream._reader.feed_data(request)
+        assert await client.raw(b"") == b"+OK\r\n" * accepted
         assert not await client.stream.fill()
-        assert len(rig.sender.journal.owed) == taken
+        assert len(rig.sender.journal.owed) == accepted
 
 
 @on_loop
-async def test_a_told_wait_silences_the_whole_destination(tmp_path: Path) -> None:
-    full = answers(Reply(429, {"X-Retry-In-Ms": "400"}), OK)
-    async with Rig(tmp_path, full, full) as rig:
+async def test_retry_after_wait_applies_to_the_whole_destination(tmp_path: Path) -> None:
+    refuse_then_accept = answers(Reply(429, {"X-Retry-In-Ms": "400"}), OK)
+    async with Rig(tmp_path, refuse_then_accept, refuse_then_accept) as rig:
         client = await rig.client()
         await client.submit("m1")
         await asyncio.wait(
             [asyncio.ensure_future(s.asked(1)) for s in rig.servers], return_when="FIRST_COMPLETED"
         )
-        told_at = asyncio.get_running_loop().time()
+        refused_at = asyncio.get_running_loop().time()
         await rig.until(lambda: Result.FULL in rig.results)
         await client.submit("m2")
         assert {(await rig.ended(m)).ending for m in ("m1", "m2")} == {Ending.DELIVERED}
         times = sorted(t for s in rig.servers for t in s.times)
-        assert len(times) == 3 and times[1] - told_at >= 0.4
+        assert len(times) == 3 and times[1] - refused_at >= 0.4
 
 
-@pytest.mark.parametrize(("cls", "calls", "noticed"), [("print-order", 1, True), ("album-update", 2, False)])
+@pytest.mark.parametrize(("cls", "calls", "given_up"), [("print-order", 1, True), ("album-update", 2, False)])
 @on_loop
-async def test_what_may_have_run_is_repeated_only_if_that_is_safe(
-    tmp_path: Path, cls: str, calls: int, noticed: bool
+async def test_attempt_that_may_have_run_is_retried_only_if_safe(
+    tmp_path: Path, cls: str, calls: int, given_up: bool
 ) -> None:
     async with Rig(tmp_path, answers(None, OK)) as rig:
         await (await rig.client()).submit("m1", cls)
-        if noticed:
+        if given_up:
             assert (await rig.platform.notice("m1"))["outcome"] == "given_up"
         assert len(await rig.servers[0].asked(calls)) == calls
 
 
 @pytest.mark.parametrize(("reads", "error"), [(False, CallNotSentError), (True, CallBrokenError)])
 @on_loop
-async def test_the_last_byte_decides_whether_a_broken_call_may_have_run(
+async def test_broken_call_may_have_run_only_if_it_was_written_completely(
     reads: bool, error: type[Exception]
 ) -> None:
-    """The body is more than the kernels hold: an instance that reads nothing breaks the call half written."""
+    """The body exceeds the socket buffers, so the call is half written if the endpoint reads nothing."""
     body = bytes(8 << 20)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -128,15 +130,18 @@
 
 
 @pytest.mark.parametrize(
-    "head", [b"Content-Length: 5\r\n\r\nab", b"Transfer-Encoding: chunked\r\n\r\n9\r\nab", b"\r\n", b"\r\nab"]
+    "rest_of_head",
+    [b"Content-Length: 5\r\n\r\nab", b"Transfer-Encoding: chunked\r\n\r\n9\r\nab", b"\r\n", b"\r\nab"],
 )
 @on_loop
-async def test_the_first_line_is_the_answer_whatever_becomes_of_the_rest(tmp_path: Path, head: bytes) -> None:
-    """A body that did not come held the end of a delivered message up until it counted as timed out."""
+async def test_status_line_decides_the_outcome_even_if_the_rest_is_missing(
+    tmp_path: Path, rest_of_head: bytes
+) -> None:
+    """Guards against waiting for a body that never comes, after which a delivered message timed out."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(b"HTTP/1.1 200 OK\r\n" + head)
+        writer.write(b"HTTP/1.1 200 OK\r\n" + rest_of_head)
         await reader.read()
         writer.close()
 
@@ -149,7 +154,7 @@
 
 
 @on_loop
-async def test_a_refused_connection_has_never_run(tmp_path: Path) -> None:
+async def test_refused_connection_is_retried_even_if_retries_are_unsafe(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         port = rig.servers[0].port
         await rig.servers[0].__aexit__()
@@ -162,7 +167,7 @@
 
 
 @on_loop
-async def test_giving_a_call_up_closes_its_connection(tmp_path: Path) -> None:
+async def test_giving_up_a_call_closes_its_connection(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         await (await rig.client()).submit("m1", "print-order", d=300)
         await rig.servers[0].closed.wait()
@@ -170,42 +175,42 @@
 
 
 @on_loop
-async def test_notices_come_again_until_they_are_confirmed(tmp_path: Path) -> None:
+async def test_notices_are_resent_until_confirmed(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(None)) as rig:
         rig.platform.notice_status = [503, 400, 204]
         await (await rig.client()).submit("m1", "print-order")
         assert await rig.platform.notice("m1") == {"message": "m1", "outcome": "given_up"}
 
 
-@pytest.mark.parametrize("silent_lines", [1, 2])
+@pytest.mark.parametrize("silent_connections", [1, 2])
 @on_loop
-async def test_a_notice_that_is_not_confirmed_goes_out_on_the_next_line_too(
-    tmp_path: Path, silent_lines: int
+async def test_unconfirmed_notice_is_resent_on_another_connection(
+    tmp_path: Path, silent_connections: int
 ) -> None:
-    """It came again only once its line was given up, 440 ms later: its message was lost 300 ms late."""
+    """Guards against a resend 440 ms later, once the connection timed out: a notice 300 ms late is lost."""
     async with Rig(tmp_path, answers(None)) as rig:
-        serve, silenced = rig.platform.behave, list[Request]()
+        serve, unanswered = rig.platform.behave, list[Request]()
 
         async def behave(request: Request) -> Reply | None:
-            if request.target == "/v1/outcomes" and len(silenced) < silent_lines:
-                silenced.append(request)
+            if request.target == "/v1/outcomes" and len(unanswered) < silent_connections:
+                unanswered.append(request)
                 return await silent(request)
             return await serve(request)
 
         rig.platform.behave = behave
         await (await rig.client()).submit("m1", "print-order")
         await rig.platform.notice("m1")
-        assert len(silenced) == silent_lines and not rig.platform.closed.is_set()
+        assert len(unanswered) == silent_connections and not rig.platform.closed.is_set()
         notices = rig.sender.notices
         assert notices is not None
         while notices.pending:
             await asyncio.sleep(0)
-        assert not notices._unsent  # confirmed is confirmed, on whichever line
-        await rig.platform.closed.wait()  # the silent line is given up all the same
+        assert not notices._unsent  # a confirmation counts on any connection
+        await rig.platform.closed.wait()  # the silent connection is closed nevertheless
 
 
 @on_loop
-async def test_a_full_sender_answers_busy(tmp_path: Path) -> None:
+async def test_sender_at_its_limit_answers_busy(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent, most_held=1) as rig:
         client = await rig.client()
         assert await client.submit("m1") == b"+OK\r\n"
@@ -214,7 +219,7 @@
 
 
 @on_loop
-async def test_a_message_that_finds_no_instance_is_handed_back(tmp_path: Path) -> None:
+async def test_message_without_an_endpoint_is_handed_back(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         rig.once_listed(99)
         await (await rig.client()).submit("m1", d=200, dest=99)
@@ -223,7 +228,7 @@
 
 
 @on_loop
-async def test_the_next_watch_follows_at_once_and_drains_are_kept(tmp_path: Path) -> None:
+async def test_next_watch_follows_at_once_and_draining_endpoints_get_no_calls(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK), answers(OK)) as rig:
         await rig.platform.asked(1)
         answered = asyncio.get_running_loop().time()
@@ -239,26 +244,30 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "asked", "lost"),
+    ("broken_answers", "call_count", "list_lost"),
     [([None], 2, False), ([None, None], 3, True), ([Reply(503, {})], 2, True)],
 )
 @on_loop
-async def test_a_watch_that_breaks_goes_on_at_once(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture, broken: list[Reply | None], asked: int, lost: bool
+async def test_broken_watch_is_repeated_at_once_and_lost_after_two_failures_or_503(
+    tmp_path: Path,
+    caplog: pytest.LogCaptureFixture,
+    broken_answers: list[Reply | None],
+    call_count: int,
+    list_lost: bool,
 ) -> None:
     caplog.set_level("INFO")
     rig = Rig(tmp_path, answers(OK))
-    rig.platform.broken = list(broken)
+    rig.platform.broken = list(broken_answers)
     async with rig:
-        await rig.platform.asked(asked)
+        await rig.platform.asked(call_count)
         at_once = rig.platform.times[1] - rig.platform.times[0] < 0.2
-        assert at_once is (broken[0] is None)
-        assert ("list of endpoints lost" in caplog.text) is lost
+        assert at_once is (broken_answers[0] is None)
+        assert ("list of endpoints lost" in caplog.text) is list_lost
 
 
 @on_loop
-async def test_owed_messages_outlast_the_process(tmp_path: Path) -> None:
-    """A call that was out may have run: the order ends as given up, the update goes again."""
+async def test_unfinished_messages_survive_a_restart(tmp_path: Path) -> None:
+    """A call in progress at a restart may have run: a print order is given up, an album update is retried."""
     async with Rig(tmp_path, silent) as rig:
         client = await rig.client()
         for cls in ("print-order", "album-update"):
@@ -273,7 +282,7 @@
 
 
 @on_loop
-async def test_the_try_limit_holds_across_a_restart(tmp_path: Path) -> None:
+async def test_attempt_limit_counts_attempts_before_a_restart(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent, try_limit=2) as rig:
         await (await rig.client()).submit("m1")
         for calls in (1, 2):
@@ -285,7 +294,7 @@
 
 
 @on_loop
-async def test_a_notice_that_was_not_confirmed_goes_out_after_a_restart(tmp_path: Path) -> None:
+async def test_unconfirmed_notice_is_sent_after_a_restart(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(None)) as rig:
         rig.platform.notice_status = [503]
         await (await rig.client()).submit("m1", "print-order")
@@ -297,23 +306,23 @@
 
 
 @on_loop
-async def test_after_sigkill_every_message_has_one_end_and_no_order_runs_twice(tmp_path: Path) -> None:
+async def test_after_sigkill_every_message_ends_once_and_no_print_order_is_retried(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig, Process(rig, tmp_path) as process:
         client = await process.client()
         ids = [f"{cls}{n}" for n in range(6) for cls in ("print-order", "album-update")]
         for n, message_id in enumerate(ids):
             assert await client.submit(message_id, message_id[:-1], d=20_000) == b"+OK\r\n"
             await rig.servers[0].asked(min(n + 1, 2))
-        begun = {r.headers["x-txn"] for r in await rig.servers[0].asked(4)}
+        begun_ids = {r.headers["x-txn"] for r in await rig.servers[0].asked(4)}
         process.child.kill()
         await process.child.wait()
-        begun |= {r.headers["x-txn"] for r in rig.servers[0].requests}
+        begun_ids |= {r.headers["x-txn"] for r in rig.servers[0].requests}
         before = len(rig.servers[0].requests)
         rig.servers[0].behave = answers(OK)
         await process.start()
-        failed = {i for i in begun if i.startswith("print-order")}
-        again = len(ids) - len(failed)
-        after = [r.headers["x-txn"] for r in (await rig.servers[0].asked(before + again))[before:]]
+        failed = {i for i in begun_ids if i.startswith("print-order")}
+        retried_count = len(ids) - len(failed)
+        after = [r.headers["x-txn"] for r in (await rig.servers[0].asked(before + retried_count))[before:]]
         assert sorted(after) == sorted(set(ids) - failed)
         assert {(await process.platform.notice(i))["outcome"] for i in failed} == {"given_up"}
         assert set(process.platform.notices) == failed
@@ -329,7 +338,7 @@
     ],
 )
 @on_loop
-async def test_bad_commands_end_only_their_connection(tmp_path: Path, data: bytes, text: bytes) -> None:
+async def test_invalid_command_closes_only_its_connection(tmp_path: Path, data: bytes, text: bytes) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         bad, good = await rig.client(), await rig.client()
         assert (await bad.raw(data)).startswith(text)
@@ -338,14 +347,16 @@
 
 
 @on_loop
-async def test_after_sigterm_it_still_answers_settles_and_exits(tmp_path: Path) -> None:
+async def test_after_sigterm_clients_are_served_until_messages_end_then_the_process_exits(
+    tmp_path: Path,
+) -> None:
     release = asyncio.Event()
 
-    async def held_up(_request: object) -> Reply:
+    async def answer_when_released(_request: object) -> Reply:
         await release.wait()
         return OK
 
-    async with Rig(tmp_path, held_up) as rig, Process(rig, tmp_path) as process:
+    async with Rig(tmp_path, answer_when_released) as rig, Process(rig, tmp_path) as process:
         assert await (await process.client()).submit("m1") == b"+OK\r\n"
         await rig.servers[0].asked(1)
         process.child.send_signal(signal.SIGTERM)
@@ -358,7 +369,7 @@
 
 
 @on_loop
-async def test_after_sigterm_it_leaves_in_time_whatever_is_out(tmp_path: Path) -> None:
+async def test_after_sigterm_the_process_exits_in_time_despite_open_calls(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig, Process(rig, tmp_path) as process:
         await (await process.client()).submit("m1", "print-order", d=20_000)
         await rig.servers[0].asked(1)
