--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -24,7 +24,7 @@
 from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import instance
 from tests.test_core import SECOND_US, Desk
-from tests.test_list_clock import Wire, framed, pass_time
+from tests.test_list_clock import FakeStream, advance_time, http_response
 
 
 @dataclass(frozen=True)
@@ -76,7 +76,7 @@
         raise NotImplementedError
 
     async def passes(self, seconds: float) -> None:
-        await pass_time(self.desk, self.desk.now + round(seconds * SECOND_US))
+        await advance_time(self.desk, self.desk.now + round(seconds * SECOND_US))
 
     def listed(self) -> set[str]:
         table = self.desk.exchange.table
@@ -94,23 +94,23 @@
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
-        self.calls: list[tuple[Wire, str]] = []
+        self.calls: list[tuple[FakeStream, str]] = []
         self.refuses, self.index = False, 5
         self.hasty: list[int] | None = None  # when calls came that are answered at once, without news
 
-    async def connect(self, _host: str, port: int) -> Wire:
+    async def connect(self, _host: str, port: int) -> FakeStream:
         if self.refuses:
             raise ConnectionRefusedError("refused")
-        return Wire(self, port)
+        return FakeStream(self, port)
 
-    def called(self, wire: Wire, text: str) -> None:
+    def called(self, wire: FakeStream, text: str) -> None:
         self.calls.append((wire, text.split(" ")[1]))
         if self.hasty is not None:
             self.hasty.append(self.desk.now)
             if len(self.hasty) < 300:  # in vain in haste, which would never end
                 wire.feed(self.document((Entry("a"),), self.index))
 
-    async def call(self) -> tuple[Wire, str]:
+    async def call(self) -> tuple[FakeStream, str]:
         """The call that waits, once there is one."""
         for _ in range(100):
             await self.passes(0.2)
@@ -144,7 +144,7 @@
                 await self.passes(20)
                 self.refuses = False
             case "busy":
-                wire.feed(framed(b"", "503 Service Unavailable"))
+                wire.feed(http_response(b"", "503 Service Unavailable"))
             case "slow":
                 wire.feed(whole[:-20])
                 await self.passes(5)
@@ -178,7 +178,7 @@
         await self.passes(0.01)
 
     def delta(self, index: int) -> bytes:
-        return framed(json.dumps({"seq": index, "whole": False, "hosts": []}).encode())
+        return http_response(json.dumps({"seq": index, "whole": False, "hosts": []}).encode())
 
 
 class Discovery(Asked):
@@ -204,12 +204,12 @@
             }
             for e in entries
         ]
-        return framed(json.dumps({"seq": index, "whole": True, "hosts": hosts}).encode())
+        return http_response(json.dumps({"seq": index, "whole": True, "hosts": hosts}).encode())
 
     def spoilt(self, how: str) -> bytes:
         host = {"host": "x", "dial": "127.0.0.1:1", "site": "", "class": "k", "block": 7, "health": "SERVING"}
         hosts: Any = {"no list": None, "a bad type": [host | {"share": float("nan")}]}[how]
-        return framed(json.dumps({"seq": self.index + 1, "whole": True, "hosts": hosts}).encode())
+        return http_response(json.dumps({"seq": self.index + 1, "whole": True, "hosts": hosts}).encode())
 
 
 class Consul(Asked):
@@ -225,8 +225,10 @@
     def close(self) -> None:
         self.consul.close()
 
-    def framed(self, doc: Any, index: int) -> bytes:
-        return framed(json.dumps(doc).encode()).replace(b"\r\n", b"\r\nX-Consul-Index: %d\r\n" % index, 1)
+    def http_response(self, doc: Any, index: int) -> bytes:
+        return http_response(json.dumps(doc).encode()).replace(
+            b"\r\n", b"\r\nX-Consul-Index: %d\r\n" % index, 1
+        )
 
     def document(self, entries: tuple[Entry, ...], index: int) -> bytes:
         doc = [
@@ -241,12 +243,12 @@
             }
             for e in entries
         ]
-        return self.framed(doc, index)
+        return self.http_response(doc, index)
 
     def spoilt(self, how: str) -> bytes:
         if how == "no list":
-            return self.framed({}, self.index + 1)
-        return self.framed([], self.index + 1).replace(b"Index: ", b"Index: x")
+            return self.http_response({}, self.index + 1)
+        return self.http_response([], self.index + 1).replace(b"Index: ", b"Index: x")
 
 
 class File(Source):
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -1,7 +1,7 @@
-"""The list's clock: when what discovery tells counts as told, one row for each sentence. No time passes here.
+"""The time by which the sender must know a change that discovery reports, tested in virtual time.
 
-A keeper of the list stands at the other end of each connection, byte by byte, in the time of a desk's wheel;
-the watch, the line below it and the module that asks again are the sender's own.
+A fake discovery service is at the other end of each connection and writes its answers byte by byte, in the
+virtual time of a `Desk`. The watch, the HTTP client and the decision module are those of the sender.
 """
 
 from __future__ import annotations
@@ -28,47 +28,47 @@
 from rowanspindle.held_messages import NEVER
 from rowanspindle.list_watch import ListWatch
 from rowanspindle.wire import parse_settings
-from tests import rig as shared
+from tests import rig as rig_module
 from tests.rig import SETTINGS, Rig, entry, instance, on_loop
 from tests.rig import silent as silent_endpoint
 from tests.test_core import SECOND_US, Desk
 
-OLD, NEW = 1, 2  # discovery's ports
+OLD_PORT, NEW_PORT = 1, 2  # ports of discovery, before and after a move
 
 
-async def pass_time(desk: Desk, until: int, look: Callable[[], None] = lambda: None) -> None:
-    """Let a desk's time pass up to there, from one thing that is due to the next."""
+async def advance_time(desk: Desk, until: int, on_step: Callable[[], None] = lambda: None) -> None:
+    """Advance a desk's virtual time, stepping from one due timer to the next."""
     while True:
         desk.exchange.pump()
         for _ in range(25):
             await asyncio.sleep(0)
-        look()
-        due = desk.exchange._due_us  # of the wheel or of news that wait
+        on_step()
+        due = desk.exchange._due_us  # of the timer wheel or of list changes that wait to be applied
         if due is None or due > until:
             break
         desk.now = max(desk.now, due)
     desk.now = until
 
 
-class Caught(Protocol):
-    """Who hears what is sent on a `Wire`."""
+class CallReceiver(Protocol):
+    """Receives what is sent on a `FakeStream`."""
 
-    def called(self, wire: Wire, text: str) -> None:
-        """A call was written whole."""
+    def called(self, stream: FakeStream, text: str) -> None:
+        """Handle a call that was written completely."""
 
 
-class Wire:
-    """The sender's end of a connection, as a `Stream`."""
+class FakeStream:
+    """The sender's end of a connection, in place of a `Stream`."""
 
-    def __init__(self, keeper: Caught, port: int) -> None:
-        self.keeper, self.port, self.inward = keeper, port, RingBuffer(96 * 1024)
+    def __init__(self, receiver: CallReceiver, port: int) -> None:
+        self.receiver, self.port, self.inward = receiver, port, RingBuffer(96 * 1024)
         self.ended = self.unread = False
         self._more = asyncio.Event()
 
     async def send(self, data: bytes) -> None:
         if self.ended:
             raise ConnectionResetError("closed while writing")
-        self.keeper.called(self, data.decode())
+        self.receiver.called(self, data.decode())
 
     async def fill(self) -> bool:
         while not len(self.inward) and not self.ended:
@@ -87,27 +87,30 @@
     abort = end
 
 
-Part = Callable[["Keeper", Wire, int | None, int], None]  # what becomes of one call: its index and its wait
+# Handles one call, given its index and its wait in milliseconds.
+CallHandler = Callable[["FakeDiscovery", FakeStream, int | None, int], None]
 
 
-class Keeper:
-    """Discovery in a desk's time: i0 is listed, and drains at 3 s."""
+class FakeDiscovery:
+    """A fake discovery service in virtual time: i0 is listed, and drains from 3 s on."""
 
-    def __init__(self, folder: Path, *plan: Part, news_s: float = 3.0, **given: Any) -> None:
-        self.desk = Desk(folder, SETTINGS | given)
+    def __init__(
+        self, folder: Path, *handlers: CallHandler, change_at_s: float = 3.0, **settings: Any
+    ) -> None:
+        self.desk = Desk(folder, SETTINGS | settings)
         self.exchange, self.began = self.desk.exchange, self.desk.now
-        self.plan, self.seq = list(plan), 5
+        self.handlers, self.seq = list(handlers), 5
         self.hosts = {"i0": (5, entry("i0", 1))}
-        self.calls: list[tuple[float, int, str]] = []  # when, at which port, and what was asked
-        self.opened: set[int] = {OLD, NEW}
+        self.calls: list[tuple[float, int, str]] = []  # time, port and target of each call
+        self.open_ports: set[int] = {OLD_PORT, NEW_PORT}
         self.known_s: float | None = None
-        self.forgotten = False  # whether what had been known was listed again later
-        self.tries = 0
-        self._waiting: list[tuple[Wire, int]] = []
+        self.reverted = False  # whether the sender listed i0 as serving again after it knew of the drain
+        self.connect_count = 0
+        self._waiting: list[tuple[FakeStream, int]] = []
         self.outage: Outage | None = None
-        self.watch = DiscoveryWatch(self.exchange, "discovery", OLD, 5)
+        self.watch = DiscoveryWatch(self.exchange, "discovery", OLD_PORT, 5)
         self.exchange.watch = self.watch.watch
-        self.at(news_s, lambda: self.change(entry("i0", 1, health="DRAINING")))
+        self.at(change_at_s, lambda: self.change(entry("i0", 1, health="DRAINING")))
 
     @property
     def now_s(self) -> float:
@@ -120,156 +123,156 @@
         self.seq += 1
         self.hosts |= {h["host"]: (self.seq, h) for h in hosts}
         waiting, self._waiting = self._waiting, []
-        for wire, index in waiting:
-            self.tell(wire, index)
+        for stream, index in waiting:
+            self.send_list(stream, index)
 
-    def news(self, index: int | None) -> bytes:
-        """The list's document as the watch with that index gets it."""
+    def list_body(self, index: int | None) -> bytes:
+        """Build the list that a watch call with this index gets."""
         hosts = [h for version, h in self.hosts.values() if index is None or version > index]
         return json.dumps({"seq": self.seq, "whole": index is None, "hosts": hosts}).encode()
 
-    def tell(self, wire: Wire, index: int | None) -> None:
-        if not wire.ended:
-            wire.feed(framed(self.news(index)))
+    def send_list(self, stream: FakeStream, index: int | None) -> None:
+        if not stream.ended:
+            stream.feed(http_response(self.list_body(index)))
 
-    async def connect(self, _host: str, port: int) -> Wire:
-        self.tries += 1
+    async def connect(self, _host: str, port: int) -> FakeStream:
+        self.connect_count += 1
         if self.outage is not None:
             await self.outage.connect(self)
-        if port not in self.opened:
+        if port not in self.open_ports:
             raise ConnectionRefusedError("refused")
-        return Wire(self, port)
+        return FakeStream(self, port)
 
-    def called(self, wire: Wire, text: str) -> None:
+    def called(self, stream: FakeStream, text: str) -> None:
         target = text.split(" ")[1]
-        self.calls.append((self.now_s, wire.port, target))
-        asked = re.match(r"/v1/servers(?:\?index=(\d+)&wait=(\d+))?$", target)
-        assert asked, target
-        index, wait = int(asked[1]) if asked[1] else None, int(asked[2] or 0)
+        self.calls.append((self.now_s, stream.port, target))
+        parsed_target = re.match(r"/v1/servers(?:\?index=(\d+)&wait=(\d+))?$", target)
+        assert parsed_target, target
+        index, wait = int(parsed_target[1]) if parsed_target[1] else None, int(parsed_target[2] or 0)
         if self.outage is not None:
             self.outage.count(self)
-            return self.outage.part(self, wire, index, wait)
-        (self.plan.pop(0) if self.plan else watches)(self, wire, index, wait)
+            return self.outage.handler(self, stream, index, wait)
+        (self.handlers.pop(0) if self.handlers else answer_watch)(self, stream, index, wait)
 
-    def wait(self, wire: Wire, index: int, wait_ms: int) -> None:
-        self._waiting.append((wire, index))
+    def wait(self, stream: FakeStream, index: int, wait_ms: int) -> None:
+        self._waiting.append((stream, index))
 
         def over() -> None:
-            if (wire, index) in self._waiting:
-                self._waiting.remove((wire, index))
-                self.tell(wire, index)
+            if (stream, index) in self._waiting:
+                self._waiting.remove((stream, index))
+                self.send_list(stream, index)
 
         self.at(wait_ms / 1000, over)
 
     async def run(self, until_s: float) -> None:
-        """Let time pass up to there."""
-        await pass_time(self.desk, self.began + round(until_s * SECOND_US), self._look)
+        """Advance the virtual time up to `until_s` after the start."""
+        await advance_time(self.desk, self.began + round(until_s * SECOND_US), self._observe)
 
-    def _look(self) -> None:
+    def _observe(self) -> None:
         listed = self.exchange.table.listed("i0")
         if self.known_s is None and not listed:
             self.known_s = self.now_s
-        self.forgotten |= self.known_s is not None and listed
+        self.reverted |= self.known_s is not None and listed
 
     @property
     def times(self) -> list[float]:
         return [when for when, _, _ in self.calls]
 
 
-def framed(body: bytes, status: str = "200 OK") -> bytes:
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status.encode(), len(body), body)
 
 
-def watches(keeper: Keeper, wire: Wire, index: int | None, wait_ms: int) -> None:
-    """As the protocol has it."""
-    if index is None or index < keeper.seq or not wait_ms:
-        keeper.tell(wire, index)
+def answer_watch(fake: FakeDiscovery, stream: FakeStream, index: int | None, wait_ms: int) -> None:
+    """Answer as the protocol specifies."""
+    if index is None or index < fake.seq or not wait_ms:
+        fake.send_list(stream, index)
     else:
-        keeper.wait(wire, index, wait_ms)
+        fake.wait(stream, index, wait_ms)
 
 
-def silent(*_: object) -> None:
-    """Nothing ever comes."""
+def never_answer(*_: object) -> None:
+    """Never answer."""
 
 
-def breaks(keeper: Keeper, wire: Wire, _index: int | None, _wait: int) -> None:
-    """The connection ends at 3.05 s: the change was told on it, or in time to be."""
-    keeper.at(max(0.0, 3.05 - keeper.now_s), wire.end)
+def break_after_change(fake: FakeDiscovery, stream: FakeStream, _index: int | None, _wait: int) -> None:
+    """Close the connection at 3.05 s, just after the change, which may have been written to it."""
+    fake.at(max(0.0, 3.05 - fake.now_s), stream.end)
 
 
-def busy(keeper: Keeper, wire: Wire, _index: int | None, _wait: int) -> None:
-    wire.feed(framed(b"", "503 Service Unavailable"))
+def refuse_with_503(fake: FakeDiscovery, stream: FakeStream, _index: int | None, _wait: int) -> None:
+    stream.feed(http_response(b"", "503 Service Unavailable"))
 
 
-def resets(_keeper: Keeper, wire: Wire, _index: int | None, _wait: int) -> None:
-    """The connection ends under the call."""
-    wire.end()
+def reset_connection(_fake: FakeDiscovery, stream: FakeStream, _index: int | None, _wait: int) -> None:
+    """Close the connection during the call."""
+    stream.end()
 
 
-def spoils(keeper: Keeper, wire: Wire, index: int | None, _wait: int) -> None:
-    """An answer comes that is no JSON."""
-    wire.feed(framed(keeper.news(index)[3:]))
+def send_invalid_json(fake: FakeDiscovery, stream: FakeStream, index: int | None, _wait: int) -> None:
+    """Answer with invalid JSON."""
+    stream.feed(http_response(fake.list_body(index)[3:]))
 
 
 class Outage:
-    """Discovery can't be reached, and is back 1 ms after so many connections or calls were tried in vain."""
+    """An outage of discovery that ends 1 ms after a given number of failed connections or calls."""
 
-    def __init__(self, part: Part, tries: int, connects: str = "up") -> None:
-        self.part, self.tries_left, self.connects = part, tries, connects
-        self.back_s: float | None = None
+    def __init__(self, handler: CallHandler, failure_count: int, connect_mode: str = "up") -> None:
+        self.handler, self.failures_left, self.connect_mode = handler, failure_count, connect_mode
+        self.ended_at_s: float | None = None
 
-    async def connect(self, keeper: Keeper) -> None:
-        """A connection is tried."""
-        if self.connects != "up":
-            self.count(keeper)
-        if self.connects == "refused":
+    async def connect(self, fake: FakeDiscovery) -> None:
+        """Handle an attempt to connect."""
+        if self.connect_mode != "up":
+            self.count(fake)
+        if self.connect_mode == "refused":
             raise ConnectionRefusedError("refused")
-        if self.connects == "silent":
+        if self.connect_mode == "silent":
             await asyncio.Event().wait()
 
-    def count(self, keeper: Keeper) -> None:
-        """One more has been tried."""
-        self.tries_left -= 1
-        if self.tries_left == 0:
-            keeper.at(0.001, lambda: self.end(keeper))
+    def count(self, fake: FakeDiscovery) -> None:
+        """Count a failed connection or call."""
+        self.failures_left -= 1
+        if self.failures_left == 0:
+            fake.at(0.001, lambda: self.end(fake))
 
-    def end(self, keeper: Keeper) -> None:
-        """Discovery is back."""
-        self.back_s, keeper.outage = keeper.now_s, None
+    def end(self, fake: FakeDiscovery) -> None:
+        """End the outage."""
+        self.ended_at_s, fake.outage = fake.now_s, None
 
 
-def tells(form: Callable[[bytes], bytes], ends: bool = False) -> Part:
-    """The change is written, in some form."""
+def write_change(encode: Callable[[bytes], bytes], closes: bool = False) -> CallHandler:
+    """Make a handler that writes the change at 3 s in the given encoding."""
 
-    def part(keeper: Keeper, wire: Wire, index: int | None, _wait: int) -> None:
+    def handler(fake: FakeDiscovery, stream: FakeStream, index: int | None, _wait: int) -> None:
         def write() -> None:
-            wire.feed(form(keeper.news(index)))
-            if ends:
-                wire.end()
+            stream.feed(encode(fake.list_body(index)))
+            if closes:
+                stream.end()
 
-        keeper.at(max(0.0, 3.0 - keeper.now_s), write)
+        fake.at(max(0.0, 3.0 - fake.now_s), write)
 
-    return part
+    return handler
 
 
-def trickles(head: bool) -> Part:
-    """From 3 s on a byte of an answer comes each 200 ms, without end."""
+def send_slowly(head: bool) -> CallHandler:
+    """Make a handler that from 3 s on writes one byte of an answer every 200 ms, without end."""
 
-    def part(keeper: Keeper, wire: Wire, _index: int | None, _wait: int) -> None:
-        begun = b"HTTP/1.1 200 OK\r\n" + (b"X: " if head else b"Content-Length: 9999\r\n\r\n")
+    def handler(fake: FakeDiscovery, stream: FakeStream, _index: int | None, _wait: int) -> None:
+        started = b"HTTP/1.1 200 OK\r\n" + (b"X: " if head else b"Content-Length: 9999\r\n\r\n")
 
         def more(data: bytes = b" ") -> None:
-            if not wire.ended:
-                wire.feed(data)
-                keeper.at(0.2, more)
+            if not stream.ended:
+                stream.feed(data)
+                fake.at(0.2, more)
 
-        keeper.at(max(0.0, 3.0 - keeper.now_s), lambda: more(begun))
+        fake.at(max(0.0, 3.0 - fake.now_s), lambda: more(started))
 
-    return part
+    return handler
 
 
-def in_time(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run an async test on a loop of its own: nothing in it waits for real time."""
+def in_virtual_time(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+    """Run an async test in its own event loop; it uses virtual time only."""
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
@@ -279,13 +282,13 @@
 
 
 @pytest.fixture
-def keeper(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Callable[..., Keeper]:
-    """What makes a keeper to which every connection leads."""
+def make_discovery(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Callable[..., FakeDiscovery]:
+    """Return a factory of fake discovery services; every connection leads to the last one made."""
 
-    def make(*plan: Part, **given: Any) -> Keeper:
+    def make(*handlers: CallHandler, **settings: Any) -> FakeDiscovery:
         folder = tmp_path / str(len(list(tmp_path.iterdir())))
         folder.mkdir()
-        made = Keeper(folder, *plan, **given)
+        made = FakeDiscovery(folder, *handlers, **settings)
         monkeypatch.setattr(Stream, "connect", made.connect)
         return made
 
@@ -293,255 +296,308 @@
 
 
 @dataclass(frozen=True)
-class Row:
-    """One sentence: what discovery does to the calls in turn, and when the change counts as told."""
+class Case:
+    """A case: how discovery handles its calls in turn, and by when the sender must know the change."""
 
-    says: str
-    plan: tuple[Part, ...]
-    told_s: float
+    description: str
+    handlers: tuple[CallHandler, ...]
+    known_by_s: float
 
 
 def indented(doc: bytes) -> bytes:
-    return framed(json.dumps(json.loads(doc), indent=4).replace("\n", "\r\n\t").encode())
+    return http_response(json.dumps(json.loads(doc), indent=4).replace("\n", "\r\n\t").encode())
 
 
-def cut(doc: bytes) -> bytes:
-    return framed(doc)[:-9]
+def truncated(doc: bytes) -> bytes:
+    return http_response(doc)[:-9]
 
 
 def chunked(doc: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"".join(
-        b"%x\r\n%s\r\n" % (len(part), part) for part in (doc[:7], doc[7:], b"")
+        b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in (doc[:7], doc[7:], b"")
     )
 
 
-ROWS = [
-    Row("what comes on a watch counts when it is written", (), 3.01),
-    Row("lists may come indented", (tells(indented),), 3.01),
-    Row("or in chunks", (tells(chunked),), 3.01),
-    Row("what is written counts, whatever became of it: the list is cut off", (tells(cut, True),), 3.2),
-    Row("it is spoilt", (tells(lambda doc: framed(doc[3:])),), 3.2),
-    Row("it is no list", (tells(lambda doc: framed(b"[]")),), 3.2),
-    Row("it is endless", (tells(lambda doc: framed(b"[" * 60_000)),), 3.2),
-    Row("it is longer than it says", (tells(lambda doc: framed(doc) + b"x"),), 3.2),
-    Row("a watch goes on if the next call comes within 200 ms", (breaks,), 3.25),
-    Row("a silent watch: 2 s after the wait", (silent,), 12.0),
-    Row("so again: the new one is silent too, for 6 s", (silent, silent), 18.0),
-    Row("and a third", (silent, silent, silent), 24.0),
-    Row("a watch that falls silent within its answer's body: 6 s", (trickles(False),), 9.0),
-    Row("within its head", (trickles(True),), 9.0),
-    Row("a call that failed: the settings' time for asking, once discovery is back", (busy,) * 3, 10.0),
+CASES = [
+    Case("a change is known as soon as a watch call is answered", (), 3.01),
+    Case("the list is indented", (write_change(indented),), 3.01),
+    Case("the list is sent in chunks", (write_change(chunked),), 3.01),
+    Case(
+        "a change that was written counts as known even if the list is truncated",
+        (write_change(truncated, True),),
+        3.2,
+    ),
+    Case("the list is not valid JSON", (write_change(lambda doc: http_response(doc[3:])),), 3.2),
+    Case("the answer is not a list document", (write_change(lambda doc: http_response(b"[]")),), 3.2),
+    Case("the answer is nested without end", (write_change(lambda doc: http_response(b"[" * 60_000)),), 3.2),
+    Case(
+        "the answer is longer than its Content-Length",
+        (write_change(lambda doc: http_response(doc) + b"x"),),
+        3.2,
+    ),
+    Case("a call within 200 ms continues a broken watch", (break_after_change,), 3.25),
+    Case("one watch call gets no answer: 2 s after its wait", (never_answer,), 12.0),
+    Case("two watch calls get no answer: 6 s later", (never_answer, never_answer), 18.0),
+    Case(
+        "three watch calls get no answer: 6 s later again", (never_answer, never_answer, never_answer), 24.0
+    ),
+    Case("an answer that stalls in its body: 6 s", (send_slowly(False),), 9.0),
+    Case("an answer that stalls in its head: 6 s", (send_slowly(True),), 9.0),
+    Case(
+        "calls are refused with 503: the configured time for requests after discovery is back",
+        (refuse_with_503,) * 3,
+        10.0,
+    ),
 ]
 
 
-@pytest.mark.parametrize("row", ROWS, ids=lambda row: row.says)
-@in_time
-async def test_a_change_is_known_before_it_counts_as_told(keeper: Callable[..., Keeper], row: Row) -> None:
-    kept = keeper(*row.plan)
-    await kept.run(30)
-    assert kept.known_s is not None and kept.known_s <= row.told_s
-    assert len(kept.plan) == 0 and len(kept.calls) <= len(row.plan) + 6
+@pytest.mark.parametrize("case", CASES, ids=lambda case: case.description)
+@in_virtual_time
+async def test_change_is_known_by_the_required_time(
+    make_discovery: Callable[..., FakeDiscovery], case: Case
+) -> None:
+    fake = make_discovery(*case.handlers)
+    await fake.run(30)
+    assert fake.known_s is not None and fake.known_s <= case.known_by_s
+    assert len(fake.handlers) == 0 and len(fake.calls) <= len(case.handlers) + 6
 
 
 @pytest.mark.parametrize("opens_s", [0.0, 2.0, 3.7])
-@pytest.mark.parametrize("calls", [(watches,), (watches, silent), (busy, watches), (busy,)])
-@in_time
-async def test_after_a_move_news_are_known_within_4_s(
-    keeper: Callable[..., Keeper], calls: tuple[Part, ...], opens_s: float
+@pytest.mark.parametrize(
+    "calls",
+    [(answer_watch,), (answer_watch, never_answer), (refuse_with_503, answer_watch), (refuse_with_503,)],
+)
+@in_virtual_time
+async def test_after_a_move_a_change_is_known_within_4_s(
+    make_discovery: Callable[..., FakeDiscovery], calls: tuple[CallHandler, ...], opens_s: float
 ) -> None:
-    """From a watch or from a pause after a failure, to one that opens late; 6 s if it is silent once."""
-    kept = keeper(*calls, news_s=1.0)
-    kept.opened = {OLD}
-    await kept.run(0.5)
-    kept.watch.move("discovery", NEW)
-    kept.at(opens_s, lambda: kept.opened.add(NEW))
-    await kept.run(12)
-    told_s = max(4.0, opens_s + 6.0 if silent in calls else 0.0)
-    assert kept.known_s is not None and kept.known_s - 0.5 <= told_s
-    assert all(port == NEW for when, port, _ in kept.calls if when > 0.5)
-
-
-@in_time
-async def test_a_move_under_an_answer_loses_nothing(keeper: Callable[..., Keeper]) -> None:
-    kept = keeper(tells(lambda doc: framed(doc)[:40]))
-    kept.at(3.005, lambda: kept.watch.move("discovery", NEW))
-    await kept.run(5)
-    assert kept.known_s is not None and kept.known_s < 3.1
-    assert kept.calls[-1][2].startswith("/v1/servers?index=6&")
-
-
-@in_time
-async def test_while_discovery_is_down_it_is_asked_again_and_again(keeper: Callable[..., Keeper]) -> None:
-    """Three times within a quarter of the time for asking, which a failed call makes four times as long."""
-    kept = keeper(breaks, news_s=5.0)
-    kept.at(3.0, lambda: kept.opened.clear())
-    kept.at(11.0, lambda: kept.opened.add(OLD))
-    await kept.run(10.9)
-    tries = kept.tries - 1
-    assert 4 <= tries <= 8  # two in a row, then later and later
-    await kept.run(20)
-    assert kept.known_s is not None and kept.known_s <= 11 + 10 / 4 * 1.25
-
-
-@pytest.mark.parametrize("tries", [2, 3, 4, 8, 9])
+    """The move comes during a watch or during the pause after a failure, to an address that may open late.
+
+    If one call there gets no answer, 6 s are allowed.
+    """
+    fake = make_discovery(*calls, change_at_s=1.0)
+    fake.open_ports = {OLD_PORT}
+    await fake.run(0.5)
+    fake.watch.move("discovery", NEW_PORT)
+    fake.at(opens_s, lambda: fake.open_ports.add(NEW_PORT))
+    await fake.run(12)
+    known_by_s = max(4.0, opens_s + 6.0 if never_answer in calls else 0.0)
+    assert fake.known_s is not None and fake.known_s - 0.5 <= known_by_s
+    assert all(port == NEW_PORT for when, port, _ in fake.calls if when > 0.5)
+
+
+@in_virtual_time
+async def test_move_during_an_answer_loses_no_change(make_discovery: Callable[..., FakeDiscovery]) -> None:
+    fake = make_discovery(write_change(lambda doc: http_response(doc)[:40]))
+    fake.at(3.005, lambda: fake.watch.move("discovery", NEW_PORT))
+    await fake.run(5)
+    assert fake.known_s is not None and fake.known_s < 3.1
+    assert fake.calls[-1][2].startswith("/v1/servers?index=6&")
+
+
+@in_virtual_time
+async def test_discovery_is_retried_with_back_off_during_an_outage(
+    make_discovery: Callable[..., FakeDiscovery],
+) -> None:
+    """Discovery is tried three times within a quarter of the configured time for requests.
+
+    A failed call makes that time four times as long.
+    """
+    fake = make_discovery(break_after_change, change_at_s=5.0)
+    fake.at(3.0, lambda: fake.open_ports.clear())
+    fake.at(11.0, lambda: fake.open_ports.add(OLD_PORT))
+    await fake.run(10.9)
+    connect_count = fake.connect_count - 1
+    assert 4 <= connect_count <= 8  # two in a row, then with back-off
+    await fake.run(20)
+    assert fake.known_s is not None and fake.known_s <= 11 + 10 / 4 * 1.25
+
+
+@pytest.mark.parametrize("failure_count", [2, 3, 4, 8, 9])
 @pytest.mark.parametrize("within_s", [0.1, 10, 40])
 @pytest.mark.parametrize(
-    ("part", "connects", "then"),
+    ("handler", "connect_mode", "later_handlers"),
     [
-        (silent, "refused", (silent,)),
-        (resets, "up", (silent,)),
-        (busy, "up", (silent,)),
-        (spoils, "up", (silent,)),
-        (silent, "silent", ()),
-        (silent, "up", ()),
+        (never_answer, "refused", (never_answer,)),
+        (reset_connection, "up", (never_answer,)),
+        (refuse_with_503, "up", (never_answer,)),
+        (send_invalid_json, "up", (never_answer,)),
+        (never_answer, "silent", ()),
+        (never_answer, "up", ()),
     ],
-    ids=["refused", "reset", "503", "spoilt", "silent while connecting", "silent in the call"],
+    ids=["refused", "reset", "503", "invalid JSON", "no answer while connecting", "no answer to a call"],
 )
-@in_time
-async def test_a_change_is_known_within_6_s_of_when_discovery_can_be_reached(
-    keeper: Callable[..., Keeper],
-    part: Part,
-    connects: str,
-    then: tuple[Part, ...],
+@in_virtual_time
+async def test_change_is_known_within_6_s_after_an_outage_of_discovery(
+    make_discovery: Callable[..., FakeDiscovery],
+    handler: CallHandler,
+    connect_mode: str,
+    later_handlers: tuple[CallHandler, ...],
     within_s: float,
-    tries: int,
+    failure_count: int,
+) -> None:
+    """It must hold for any kind and length of failure, also if the first call after it gets no answer."""
+    fake = make_discovery(
+        *later_handlers, change_at_s=0.0, rules={"ask_within_us": round(within_s * SECOND_US)}
+    )
+    fake.outage = outage = Outage(handler, failure_count, connect_mode)
+    await fake.run(120)
+    assert outage.ended_at_s is not None and fake.known_s is not None
+    assert fake.known_s <= outage.ended_at_s + 6.0
+
+
+@in_virtual_time
+async def test_full_list_is_requested_when_versions_restart(
+    make_discovery: Callable[..., FakeDiscovery],
 ) -> None:
-    """Whatever failed before, and however long; also if the first call behind a failed one falls silent."""
-    kept = keeper(*then, news_s=0.0, rules={"ask_within_us": round(within_s * SECOND_US)})
-    kept.outage = outage = Outage(part, tries, connects)
-    await kept.run(120)
-    assert outage.back_s is not None and kept.known_s is not None
-    assert kept.known_s <= outage.back_s + 6.0
-
-
-@in_time
-async def test_a_whole_list_follows_when_versions_begin_anew(keeper: Callable[..., Keeper]) -> None:
-    """Discovery came back at version 2 without i0: its changes by the old count were taken for all."""
-    kept = keeper(breaks, news_s=99)
-
-    def anew() -> None:
-        kept.seq, kept.hosts = 2, {"i1": (1, entry("i1", 1))}
-
-    kept.at(3.0, anew)
-    await kept.run(17)
-    assert kept.exchange.table.names() == {"i1"}
-    assert [c[2] for c in kept.calls].count("/v1/servers") == 1 and kept.calls[-1][2].startswith(
+    """Guards against a stale entry after discovery has restarted at version 2 without i0.
+
+    The sender took the changes since its own, higher version for all that had changed.
+    """
+    fake = make_discovery(break_after_change, change_at_s=99)
+
+    def restart_versions() -> None:
+        fake.seq, fake.hosts = 2, {"i1": (1, entry("i1", 1))}
+
+    fake.at(3.0, restart_versions)
+    await fake.run(17)
+    assert fake.exchange.table.names() == {"i1"}
+    assert [c[2] for c in fake.calls].count("/v1/servers") == 1 and fake.calls[-1][2].startswith(
         "/v1/servers?index=2&"
     )
 
 
-def stale(scope: str) -> Part:
-    """An answer from before the change, which comes after it."""
+def send_old_list(scope: str) -> CallHandler:
+    """Make a handler that answers with the list from before the change."""
 
-    def part(_keeper: Keeper, wire: Wire, _index: int | None, _wait: int) -> None:
+    def handler(_fake: FakeDiscovery, stream: FakeStream, _index: int | None, _wait: int) -> None:
         whole = scope == "whole"
-        wire.feed(framed(json.dumps({"seq": 5, "whole": whole, "hosts": [entry("i0", 1)]}).encode()))
+        stream.feed(http_response(json.dumps({"seq": 5, "whole": whole, "hosts": [entry("i0", 1)]}).encode()))
 
-    return part
+    return handler
 
 
 @pytest.mark.parametrize("scope", ["whole", "changes"])
-@in_time
-async def test_a_stale_answer_does_not_bring_back_what_drained(
-    keeper: Callable[..., Keeper], scope: str
+@in_virtual_time
+async def test_stale_answer_does_not_revert_a_drain(
+    make_discovery: Callable[..., FakeDiscovery], scope: str
 ) -> None:
-    """A whole list with a lower version was believed at once: what drained got calls until the next one."""
-    kept = keeper(watches, stale(scope))
-    await kept.run(20)
-    assert kept.known_s is not None and kept.known_s <= 3.01 and not kept.forgotten
-    assert [target for _, _, target in kept.calls].count("/v1/servers") == 1
-    assert kept.watch.seq == 6
+    """Guards against a full list of a lower version that was applied at once: a draining endpoint got calls
+    until the next list.
+    """
+    fake = make_discovery(answer_watch, send_old_list(scope))
+    await fake.run(20)
+    assert fake.known_s is not None and fake.known_s <= 3.01 and not fake.reverted
+    assert [target for _, _, target in fake.calls].count("/v1/servers") == 1
+    assert fake.watch.seq == 6
 
 
 @pytest.mark.parametrize("bad", [{"health": "STARTING"}, {"dial": "x"}, {"share": None}, {"block": {}}])
-@in_time
-async def test_an_entry_that_cannot_be_read_is_left_out(
-    keeper: Callable[..., Keeper], bad: dict[str, Any]
+@in_virtual_time
+async def test_invalid_entry_is_left_out(
+    make_discovery: Callable[..., FakeDiscovery], bad: dict[str, Any]
 ) -> None:
-    """It froze the whole list for as long as it stood there. What was known of it counts no more."""
-    kept = keeper(news_s=5.0)
-    kept.hosts["i1"] = (5, entry("i1", 2))
-    kept.exchange.list_instances(UpdateScope.FULL, [instance("i0", 1), instance("i1", 2)])
-    kept.at(3.0, lambda: kept.change(entry("i1", 2) | bad))
-    kept.at(4.0, lambda: kept.change(entry("i2", 3)))
-    await kept.run(4.5)
-    assert kept.exchange.table.names() == {"i0", "i2"}
-    await kept.run(20)
-    assert kept.known_s is not None and kept.known_s <= 5.2
-    assert kept.tries == 1 and len(kept.calls) <= 9
-    kept.change(entry("i1", 2))
-    await kept.run(21)
-    assert kept.exchange.table.listed("i1")
-
-
-@pytest.mark.parametrize(("then", "most_s"), [((), 3.05), ((silent,), 5.1)])
-@in_time
-async def test_an_entry_that_is_spoilt_on_the_way_takes_nothing_away(
-    keeper: Callable[..., Keeper], then: tuple[Part, ...], most_s: float
+    """Guards against one invalid entry that blocked all updates of the list.
+
+    Earlier data of that endpoint are discarded.
+    """
+    fake = make_discovery(change_at_s=5.0)
+    fake.hosts["i1"] = (5, entry("i1", 2))
+    fake.exchange.list_instances(UpdateScope.FULL, [instance("i0", 1), instance("i1", 2)])
+    fake.at(3.0, lambda: fake.change(entry("i1", 2) | bad))
+    fake.at(4.0, lambda: fake.change(entry("i2", 3)))
+    await fake.run(4.5)
+    assert fake.exchange.table.names() == {"i0", "i2"}
+    await fake.run(20)
+    assert fake.known_s is not None and fake.known_s <= 5.2
+    assert fake.connect_count == 1 and len(fake.calls) <= 9
+    fake.change(entry("i1", 2))
+    await fake.run(21)
+    assert fake.exchange.table.listed("i1")
+
+
+@pytest.mark.parametrize(("later_handlers", "max_s"), [((), 3.05), ((never_answer,), 5.1)])
+@in_virtual_time
+async def test_entry_corrupted_in_transit_removes_no_endpoint(
+    make_discovery: Callable[..., FakeDiscovery], later_handlers: tuple[CallHandler, ...], max_s: float
 ) -> None:
-    kept = keeper(tells(lambda doc: framed(doc.replace(b"DRAINING", b"DRAWNING"))), *then)
-    await kept.run(20)
-    assert kept.known_s is not None and kept.known_s <= most_s
-    assert kept.exchange.table.names() == {"i0"}
+    fake = make_discovery(
+        write_change(lambda doc: http_response(doc.replace(b"DRAINING", b"DRAWNING"))), *later_handlers
+    )
+    await fake.run(20)
+    assert fake.known_s is not None and fake.known_s <= max_s
+    assert fake.exchange.table.names() == {"i0"}
 
 
-@in_time
-async def test_an_answer_without_news_ahead_of_its_time_does_not_spin(keeper: Callable[..., Keeper]) -> None:
-    """Discovery that heeds no wait was asked as fast as it answered."""
-    kept = keeper(*[lambda k, w, i, wait: k.tell(w, i)] * 400, news_s=99)
-    await kept.run(10)
-    gaps = [b - a for a, b in zip(kept.times, kept.times[1:], strict=False)]
-    assert min(gaps) >= 0.05 and max(gaps) < 0.2  # and yet the watch goes on
+@in_virtual_time
+async def test_early_answers_without_changes_cause_no_busy_loop(
+    make_discovery: Callable[..., FakeDiscovery],
+) -> None:
+    """Guards against a busy loop when discovery answers without waiting."""
+    fake = make_discovery(
+        *[lambda fake, stream, index, _wait: fake.send_list(stream, index)] * 400, change_at_s=99
+    )
+    await fake.run(10)
+    gaps = [b - a for a, b in zip(fake.times, fake.times[1:], strict=False)]
+    assert min(gaps) >= 0.05 and max(gaps) < 0.2  # often enough to continue the watch
 
 
-@in_time
-async def test_the_list_of_the_start_holds_until_it_is_asked(keeper: Callable[..., Keeper]) -> None:
-    kept = keeper(silent, news_s=99)
-    assert kept.exchange.table.listed("i0")
-    await kept.run(0)
-    assert kept.calls == [(0.0, OLD, "/v1/servers?index=5&wait=10000")]
-    await kept.run(30)
-    assert kept.exchange.table.listed("i0")  # an unchanged list, and silence, take nothing away
+@in_virtual_time
+async def test_initial_list_stays_in_force_without_changes(
+    make_discovery: Callable[..., FakeDiscovery],
+) -> None:
+    fake = make_discovery(never_answer, change_at_s=99)
+    assert fake.exchange.table.listed("i0")
+    await fake.run(0)
+    assert fake.calls == [(0.0, OLD_PORT, "/v1/servers?index=5&wait=10000")]
+    await fake.run(30)
+    assert fake.exchange.table.listed("i0")  # an unchanged list or no answer removes no endpoint
 
 
-@in_time
-async def test_what_could_not_be_taken_over_is_asked_for_again(keeper: Callable[..., Keeper]) -> None:
-    """The version went on although a defect had kept the news out: they were lost for good."""
-    kept = keeper()
-    take, failed = kept.exchange.list_instances, list[int]()
+@in_virtual_time
+async def test_list_that_could_not_be_applied_is_requested_again(
+    make_discovery: Callable[..., FakeDiscovery],
+) -> None:
+    """Guards against recording the version of a list that was not applied, whose changes were then lost."""
+    fake = make_discovery()
+    list_instances, failures = fake.exchange.list_instances, list[int]()
 
     def fails_once(*args: Any) -> None:
-        if not failed and args[1]:
-            failed.append(1)
+        if not failures and args[1]:
+            failures.append(1)
             raise ZeroDivisionError
-        take(*args)
+        list_instances(*args)
 
-    kept.exchange.list_instances = fails_once  # type: ignore[method-assign,assignment]
-    await kept.run(6)
-    assert failed and kept.known_s is not None and kept.known_s <= 3.2
+    fake.exchange.list_instances = fails_once  # type: ignore[method-assign,assignment]
+    await fake.run(6)
+    assert failures and fake.known_s is not None and fake.known_s <= 3.2
 
 
-@in_time
-async def test_where_lists_are_pushed_the_news_are_there_before_anything_is_sent(
-    keeper: Callable[..., Keeper],
+@in_virtual_time
+async def test_in_pushed_mode_the_current_list_is_known_before_calls_are_made(
+    make_discovery: Callable[..., FakeDiscovery],
 ) -> None:
-    """What the agent has counts as told from the first moment of a process, and as soon after a break."""
-    kept = keeper(news_s=0.0)
-    kept.watch = DiscoveryWatch(kept.exchange, "discovery", OLD, 5, pushed=True)
-    kept.change(entry("i9", 9))
-    first = asyncio.ensure_future(kept.watch.first())
-    await kept.run(0.02)
-    assert first.done() and "i9" in kept.exchange.table.names() and kept.known_s is not None
-    for plan, until_s in (((), 0.02), ((silent,), discovery.FIRST_LIST_TIMEOUT_US / SECOND_US + 0.02)):
-        none = keeper(*plan, news_s=99.0)  # nothing new, or discovery that is not there, holds nothing up
-        none.watch = DiscoveryWatch(none.exchange, "discovery", OLD, 5, pushed=True)
-        first = asyncio.ensure_future(none.watch.first())
-        await none.run(until_s)
+    """In pushed mode the sender must know the agent's list when the process starts and after each failure."""
+    fake = make_discovery(change_at_s=0.0)
+    fake.watch = DiscoveryWatch(fake.exchange, "discovery", OLD_PORT, 5, pushed=True)
+    fake.change(entry("i9", 9))
+    first = asyncio.ensure_future(fake.watch.first())
+    await fake.run(0.02)
+    assert first.done() and "i9" in fake.exchange.table.names() and fake.known_s is not None
+    for handlers, until_s in (
+        ((), 0.02),
+        ((never_answer,), discovery.FIRST_LIST_TIMEOUT_US / SECOND_US + 0.02),
+    ):
+        # An unchanged list or no answer must not block the start.
+        unchanged = make_discovery(*handlers, change_at_s=99.0)
+        unchanged.watch = DiscoveryWatch(unchanged.exchange, "discovery", OLD_PORT, 5, pushed=True)
+        first = asyncio.ensure_future(unchanged.watch.first())
+        await unchanged.run(until_s)
         assert first.done()
 
 
 @on_loop
-async def test_a_restart_where_lists_are_pushed_sends_nothing_to_what_drained_meanwhile(
+async def test_in_pushed_mode_a_restart_sends_nothing_to_an_endpoint_that_drained_meanwhile(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with Rig(tmp_path, silent_endpoint) as rig:
@@ -550,40 +606,43 @@
         rig.sender.close()
         doc = {"seq": 2, "whole": False, "hosts": [entry("i0", 1, health="DRAINING")]}
         rig.platform.broken = [Reply(200, {}, json.dumps(doc).encode())]
-        monkeypatch.setattr(shared, "PlatformConfig", functools.partial(PlatformConfig, pushed=True))
+        monkeypatch.setattr(rig_module, "PlatformConfig", functools.partial(PlatformConfig, pushed=True))
         await rig.start()
         assert not rig.sender.exchange.table.listed("i0") and not rig.sender.pool.tasks
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-def test_a_sender_on_sockets_asks_in_either_mode(tmp_path: Path, mode: str) -> None:
-    """Where lists are pushed no watch was ever opened: the list of the configuration stayed for good."""
+def test_sender_requests_the_list_in_both_modes(tmp_path: Path, mode: str) -> None:
+    """Guards against pushed mode without a watch, in which the configured list was never updated."""
     config = config_of(tmp_path, mode, {})
     assert config.settings.on_request and config.platform is not None
     assert config.platform.pushed is (mode == "pushed")
     assert ListWatch(config.settings).next_request_at == 0
 
 
-@pytest.mark.parametrize(("grace_ms", "most_s"), [(500, 0.25), (250, 0.125), (1, 0.125), (None, 0.125)])
-def test_where_lists_are_pushed_a_failed_watch_is_asked_for_within_half_of_the_drain_grace(
-    tmp_path: Path, grace_ms: int | None, most_s: float
+@pytest.mark.parametrize(("grace_ms", "max_s"), [(500, 0.25), (250, 0.125), (1, 0.125), (None, 0.125)])
+def test_in_pushed_mode_a_failed_watch_is_retried_within_half_of_the_drain_grace(
+    tmp_path: Path, grace_ms: int | None, max_s: float
 ) -> None:
-    """What the agent gets when discovery returns counts at once: it was asked again after up to 1.25 s."""
+    """Guards against a list that is requested too late when discovery returns.
+
+    The agent's list counts as known at once, but was requested only after up to 1.25 s.
+    """
     config = config_of(tmp_path, "pushed", {} if grace_ms is None else {"drain_grace_us": grace_ms * 1000})
-    asking = ListWatch(config.settings)
+    list_watch = ListWatch(config.settings)
     for _ in range(12):
-        asking.failed(0, Random(1))
-        assert 0.1 * SECOND_US <= asking.next_request_at <= most_s * SECOND_US
+        list_watch.failed(0, Random(1))
+        assert 0.1 * SECOND_US <= list_watch.next_request_at <= max_s * SECOND_US
 
 
-def test_rules_that_are_null_leave_the_usual_drain_grace(tmp_path: Path) -> None:
-    usual = config_of(tmp_path, "pushed", {})
-    assert config_of(tmp_path, "pushed", None) == usual
-    assert config_of(tmp_path, "pushed", {"drain_grace_us": None}) == usual
+def test_null_rules_leave_the_default_drain_grace(tmp_path: Path) -> None:
+    default_config = config_of(tmp_path, "pushed", {})
+    assert config_of(tmp_path, "pushed", None) == default_config
+    assert config_of(tmp_path, "pushed", {"drain_grace_us": None}) == default_config
 
 
 def config_of(folder: Path, mode: str, rules: dict[str, Any] | None) -> Config:
-    """The configuration of a sender on the platform where lists come in this mode."""
+    """Load the configuration of a platform sender with this membership mode."""
     settings = SETTINGS | {"membership_mode": mode, "rules": rules}
     known = {"seq": 1, "whole": True, "hosts": list[Any]()}
     doc = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "known": known}
@@ -591,26 +650,28 @@
     return platform_config({"ROUTER_CONFIG": str(folder / "c.json"), "ROUTER_STATE": str(folder)})
 
 
-@pytest.mark.parametrize(("within_us", "most_s"), [(1, 0.13), (4 * SECOND_US, 1.25), (40 * SECOND_US, 3.5)])
-def test_the_pause_after_a_failure_grows_and_is_never_none(within_us: int, most_s: float) -> None:
+@pytest.mark.parametrize(("within_us", "max_s"), [(1, 0.13), (4 * SECOND_US, 1.25), (40 * SECOND_US, 3.5)])
+def test_back_off_after_failures_grows_from_a_minimum_and_is_reset_by_a_list(
+    within_us: int, max_s: float
+) -> None:
     settings = Settings(
         classes=parse_settings(json.dumps(SETTINGS)).classes,
         slots=1, most_held=1, tenants={}, kinds={}, on_request=True, ask_within_us=within_us,
     )  # fmt: skip
-    asking, now = ListWatch(settings), 0
+    list_watch, now = ListWatch(settings), 0
     pauses = []
     for _ in range(12):
-        asking.failed(now, Random(1))
-        pauses.append(asking.next_request_at - now)
-        now = asking.next_request_at
-    assert pauses == sorted(pauses) and pauses[0] >= 0.1 * SECOND_US and pauses[-1] <= most_s * SECOND_US
-    asking.listed()
-    asking.failed(now, Random(1))
-    assert asking.next_request_at - now == pauses[0]
+        list_watch.failed(now, Random(1))
+        pauses.append(list_watch.next_request_at - now)
+        now = list_watch.next_request_at
+    assert pauses == sorted(pauses) and pauses[0] >= 0.1 * SECOND_US and pauses[-1] <= max_s * SECOND_US
+    list_watch.listed()
+    list_watch.failed(now, Random(1))
+    assert list_watch.next_request_at - now == pauses[0]
     pushed = ListWatch(replace(settings, on_request=False))
     pushed.failed(now, Random(1))
-    assert pushed.next_request_at == NEVER  # on the wire, where changes come unasked
+    assert pushed.next_request_at == NEVER  # where changes are sent without a request
 
 
-def test_statuses_are_those_of_the_protocol() -> None:
+def test_each_status_of_the_protocol_is_mapped() -> None:
     assert {discovery.STATUSES[word] for word in ("SERVING", "DRAINING", "DELETED")} == set(EndpointStatus)
