--- a/rowanrack/consul.py
+++ b/rowanrack/consul.py
@@ -25,7 +25,7 @@
 
 BLOCKING_WAIT_S = 60  # how long a query may block
 ANSWER_GRACE_US = 2_000_000  # for an answer beyond the time that the query may block
-# Two retries, even with one query between them that gets no answer, make a change known within 6 s.
+# With these delays a change is known within 6 s of an outage, even if one more query gets no answer.
 MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US = 500_000, 1_750_000
 MAX_LIST_BYTES = 4 << 20
 INDEX_RESET_DELAY_US = 100_000  # before the query that starts again after the index went backwards
--- a/rowanrack/fronts/platform/discovery.py
+++ b/rowanrack/fronts/platform/discovery.py
@@ -27,9 +27,9 @@
 WATCH_WAIT_MS = 10_000
 # Shorter wait for the first call to a new address or after a failure, which may remain unanswered, too.
 SHORT_WATCH_WAIT_MS = 1_000
-# Time beyond the wait within which an answer must arrive: a change counts as known to us 2 s after the wait.
+# Time beyond the wait within which an answer must arrive: a change counts as known 2 s after the wait.
 ANSWER_GRACE_US = 1_000_000
-# After a move, failures are not counted for this time: a change counts as known to us 4 s after the move.
+# After a move, failures are not counted for this time: a change counts as known 4 s after the move.
 MOVE_TOLERANCE_US = 4_000_000
 RETRY_DELAY_US = 100_000  # between calls after a move, and after an early answer without changes
 FIRST_LIST_TIMEOUT_US = 1_000_000  # limit of the wait for the first list at start-up, where lists are pushed
@@ -128,7 +128,7 @@
         self._needs_full_list = False
         self._first_call_done = asyncio.Event()
         self._limited_warnings = RareLog(log)
-        self.failed = 0  # failed calls since the move to another address
+        self.failures_since_move = 0
 
     def watch(self) -> None:
         """Start the watch unless it runs. Called when the decision module requests the list."""
@@ -156,26 +156,26 @@
         self._http.close()
 
     async def _follow(self) -> None:
-        failures = self.failed = 0
+        failures = self.failures_since_move = 0
         # After a failure the next call follows at once: one within 200 ms continues the same watch.
         while failures < 2:
-            failed = 1
+            new_failures = 1
             try:
                 await self._call()
-                failed = 0
+                new_failures = 0
             except (*FAILURES, ListError) as error:
                 self._limited_warnings.warning(
                     "discovery: the watch call failed: %s", str(error) or type(error).__name__
                 )
                 # Discovery answers but is overloaded, so end now and let the module request the list later.
-                failed = 2 if isinstance(error, BadReplyError) and error.status != 200 else 1
+                new_failures = 2 if isinstance(error, BadReplyError) and error.status != 200 else 1
             except Exception:
                 # Caught so that a defect does not end this task unnoticed.
                 log.exception("discovery: the watch call failed unexpectedly")
-            self._next_may_fail |= failed > 0
-            failures = failures + failed if failed else 0
+            self._next_may_fail |= new_failures > 0
+            failures = failures + new_failures if new_failures else 0
             if failures and self._recently_moved():
-                failures, self.failed = 0, self.failed + 1
+                failures, self.failures_since_move = 0, self.failures_since_move + 1
                 await pause(self.exchange.after, RETRY_DELAY_US)
         self._first_call_done.set()
         self.exchange.list_instances(UpdateScope.FAILED, ())
--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -1,7 +1,7 @@
-"""What every source of the name table keeps to: the operator's file, the platform's discovery, Consul.
+"""Contract of all sources of the endpoint list: the site file, the platform's discovery, and Consul.
 
-One suite over all three, in virtual time. Each check is a function of a source; a source that is broken on
-purpose stands at the end, and the suite finds it out.
+Each check is a function of a source and runs against all three in virtual time. At the end, the checks are
+run against sources with deliberate faults and must fail.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class Entry:
+class ListedEndpoint:
     """One endpoint as a source lists it."""
 
     name: str
@@ -37,45 +37,46 @@
     drains: bool = False
 
 
-class Desk2(Desk):
-    """A desk that notes which idle connections it was told to close."""
+class RecordingDesk(Desk):
+    """A desk that records the endpoints whose idle connections it was told to close."""
 
     def __init__(self, folder: Path) -> None:
-        self.closed: list[str] = []
+        self.closed_idle: list[str] = []
         super().__init__(folder)
         self.exchange.list_instances(UpdateScope.FULL, ())
 
     def close_idle(self, name: str) -> None:
-        self.closed.append(name)
+        self.closed_idle.append(name)
 
 
 class Source:
-    """A source among a desk's exchange, told what to list; `errs` names the ways in which it can fail."""
+    """A source that updates the exchange of a desk; `failure_kinds` lists the ways in which it can fail."""
 
-    errs: tuple[str, ...] = ()
-    drains = counts = True  # whether its lists tell of drains, and have versions
+    failure_kinds: tuple[str, ...] = ()
+    drains = has_versions = True  # whether its lists contain draining endpoints, and have versions
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.desk = folder, Desk2(folder)
+        self.folder, self.desk = folder, RecordingDesk(folder)
 
-    def name(self, entry: str) -> str:
-        return entry
+    def listed_name(self, name: str) -> str:
+        """Return the name under which the source lists an endpoint."""
+        return name
 
     def start(self) -> None:
-        """Begin; within a loop."""
+        """Start the source; an event loop must be running."""
 
     def close(self) -> None:
-        """End."""
+        """Stop the source."""
 
-    async def says(self, *entries: Entry) -> None:
-        """The list as a whole, taken over."""
+    async def provide_list(self, *entries: ListedEndpoint) -> None:
+        """Provide a full list and wait until it is applied."""
         raise NotImplementedError
 
-    async def fails(self, how: str) -> None:
-        """An attempt that fails in this way."""
+    async def fail(self, failure_kind: str) -> None:
+        """Make one update fail in this way."""
         raise NotImplementedError
 
-    async def passes(self, seconds: float) -> None:
+    async def advance(self, seconds: float) -> None:
         await advance_time(self.desk, self.desk.now + round(seconds * SECOND_US))
 
     def listed(self) -> set[str]:
@@ -83,106 +84,111 @@
         return {n for n in table.names() if table.listed(n)}
 
     def names(self, entries: Iterable[str]) -> set[str]:
-        return {self.name(n) for n in entries}
+        return {self.listed_name(n) for n in entries}
 
 
-class Asked(Source):
-    """One that is asked over HTTP: each call waits until something is said."""
+class HttpSource(Source):
+    """A source that is requested over HTTP; each call waits until an answer is provided."""
 
-    errs = ("silent", "broken", "refused", "busy", "slow", "cut off", "no HTTP", "no JSON", "no list",
-            "a bad type", "overlong", "endless")  # fmt: skip
+    failure_kinds = ("silent", "broken", "refused", "busy", "slow", "cut off", "no HTTP", "no JSON",
+                     "no list", "a bad type", "overlong", "endless")  # fmt: skip
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
         self.calls: list[tuple[FakeStream, str]] = []
-        self.refuses, self.index = False, 5
-        self.hasty: list[int] | None = None  # when calls came that are answered at once, without news
+        self.refuse_connections, self.index = False, 5
+        # Times of the calls that were answered at once without changes; None if calls wait.
+        self.early_call_times: list[int] | None = None
 
     async def connect(self, _host: str, port: int) -> FakeStream:
-        if self.refuses:
+        if self.refuse_connections:
             raise ConnectionRefusedError("refused")
         return FakeStream(self, port)
 
-    def called(self, wire: FakeStream, text: str) -> None:
-        self.calls.append((wire, text.split(" ")[1]))
-        if self.hasty is not None:
-            self.hasty.append(self.desk.now)
-            if len(self.hasty) < 300:  # in vain in haste, which would never end
-                wire.feed(self.document((Entry("a"),), self.index))
+    def called(self, stream: FakeStream, text: str) -> None:
+        self.calls.append((stream, text.split(" ")[1]))
+        if self.early_call_times is not None:
+            self.early_call_times.append(self.desk.now)
+            if len(self.early_call_times) < 300:  # a limit, since a busy loop would never end
+                stream.feed(self.document((ListedEndpoint("a"),), self.index))
 
-    async def call(self) -> tuple[FakeStream, str]:
-        """The call that waits, once there is one."""
+    async def next_call(self) -> tuple[FakeStream, str]:
+        """Return the waiting call, once there is one."""
         for _ in range(100):
-            await self.passes(0.2)
+            await self.advance(0.2)
             self.calls = [c for c in self.calls if not c[0].ended]
             if self.calls:
                 return self.calls.pop()
-        raise AssertionError("it does not ask any more")
+        raise AssertionError("the source makes no more calls")
 
-    def document(self, entries: tuple[Entry, ...], index: int) -> bytes:
+    def document(self, entries: tuple[ListedEndpoint, ...], index: int) -> bytes:
         raise NotImplementedError
 
-    def spoilt(self, how: str) -> bytes:
+    def invalid_answer(self, failure_kind: str) -> bytes:
         raise NotImplementedError
 
-    async def says(self, *entries: Entry) -> None:
+    async def provide_list(self, *entries: ListedEndpoint) -> None:
         self.index += 1
-        (await self.call())[0].feed(self.document(entries, self.index))
-        await self.passes(0.01)
+        (await self.next_call())[0].feed(self.document(entries, self.index))
+        await self.advance(0.01)
 
-    async def fails(self, how: str) -> None:
-        wire, _ = await self.call()
-        whole = self.document((Entry("x"),), self.index + 1)
-        match how:
+    async def fail(self, failure_kind: str) -> None:
+        stream, _ = await self.next_call()
+        complete_answer = self.document((ListedEndpoint("x"),), self.index + 1)
+        match failure_kind:
             case "silent":
-                await self.passes(80)
+                await self.advance(80)
             case "broken":
-                wire.end()
+                stream.end()
             case "refused":
-                self.refuses = True
-                wire.end()
-                await self.passes(20)
-                self.refuses = False
+                self.refuse_connections = True
+                stream.end()
+                await self.advance(20)
+                self.refuse_connections = False
             case "busy":
-                wire.feed(http_response(b"", "503 Service Unavailable"))
+                stream.feed(http_response(b"", "503 Service Unavailable"))
             case "slow":
-                wire.feed(whole[:-20])
-                await self.passes(5)
+                stream.feed(complete_answer[:-20])
+                await self.advance(5)
             case "cut off":
-                wire.feed(whole[:-20])
-                wire.end()
+                stream.feed(complete_answer[:-20])
+                stream.end()
             case "no HTTP":
-                wire.feed(b"\x00\xff noise\r\n\r\n")
+                stream.feed(b"\x00\xff noise\r\n\r\n")
             case "no JSON":
-                wire.feed(re.sub(rb"\r\n\r\n.", b"\r\n\r\n?", whole))
+                stream.feed(re.sub(rb"\r\n\r\n.", b"\r\n\r\n?", complete_answer))
             case "overlong":
-                wire.feed(whole.replace(b"Content-Length: ", b"Content-Length: %d" % MAX_LIST_BYTES))
+                stream.feed(
+                    complete_answer.replace(b"Content-Length: ", b"Content-Length: %d" % MAX_LIST_BYTES)
+                )
             case "endless":
-                wire.feed(re.sub(rb"Content-Length: \d+", b"Transfer-Encoding: chunked", whole))
+                stream.feed(re.sub(rb"Content-Length: \d+", b"Transfer-Encoding: chunked", complete_answer))
                 for _ in range(8):
-                    await self.passes(0.3)
-                    wire.feed(b"4\r\nabcd\r\n")
+                    await self.advance(0.3)
+                    stream.feed(b"4\r\nabcd\r\n")
             case _:
-                wire.feed(self.spoilt(how))
-        await self.passes(0.01)
-
-    async def restarts(self, *entries: Entry) -> None:
-        """It comes back with a lower version and this list."""
-        (await self.call())[0].feed(self.document((), 2) if isinstance(self, Consul) else self.delta(2))
-        await self.passes(0.15)
-        assert self.calls, "what came with it counts as told when it was written"
-        wire, target = await self.call()
+                stream.feed(self.invalid_answer(failure_kind))
+        await self.advance(0.01)
+
+    async def restart(self, *entries: ListedEndpoint) -> None:
+        """Restart the service with a lower version and this list."""
+        (await self.next_call())[0].feed(
+            self.document((), 2) if isinstance(self, Consul) else self.empty_delta(2)
+        )
+        await self.advance(0.15)
+        assert self.calls, "a change counts as known when it was written, so a call must follow at once"
+        stream, target = await self.next_call()
         assert target == "/v1/servers" or "index=0&" in target
-        wire.feed(self.document(entries, 2))
+        stream.feed(self.document(entries, 2))
         self.index = 2
-        await self.passes(0.01)
+        await self.advance(0.01)
 
-    def delta(self, index: int) -> bytes:
+    def empty_delta(self, index: int) -> bytes:
         return http_response(json.dumps({"seq": index, "whole": False, "hosts": []}).encode())
 
 
-class Discovery(Asked):
-    """The platform's discovery."""
+class Discovery(HttpSource):
+    """The platform's discovery service."""
 
     def start(self) -> None:
         self.watch = DiscoveryWatch(self.desk.exchange, "discovery", 1, 5)
@@ -191,7 +197,7 @@
     def close(self) -> None:
         self.watch.close()
 
-    def document(self, entries: tuple[Entry, ...], index: int) -> bytes:
+    def document(self, entries: tuple[ListedEndpoint, ...], index: int) -> bytes:
         hosts = [
             {
                 "host": e.name,
@@ -206,17 +212,17 @@
         ]
         return http_response(json.dumps({"seq": index, "whole": True, "hosts": hosts}).encode())
 
-    def spoilt(self, how: str) -> bytes:
+    def invalid_answer(self, failure_kind: str) -> bytes:
         host = {"host": "x", "dial": "127.0.0.1:1", "site": "", "class": "k", "block": 7, "health": "SERVING"}
-        hosts: Any = {"no list": None, "a bad type": [host | {"share": float("nan")}]}[how]
+        hosts: Any = {"no list": None, "a bad type": [host | {"share": float("nan")}]}[failure_kind]
         return http_response(json.dumps({"seq": self.index + 1, "whole": True, "hosts": hosts}).encode())
 
 
-class Consul(Asked):
-    """Consul, by one service."""
+class Consul(HttpSource):
+    """Consul with one service."""
 
-    def name(self, entry: str) -> str:
-        return f"n/{entry}"
+    def listed_name(self, name: str) -> str:
+        return f"n/{name}"
 
     def start(self) -> None:
         self.consul = ConsulSource(self.desk.exchange, ("consul", 1), ("labs",), "")
@@ -230,7 +236,7 @@
             b"\r\n", b"\r\nX-Consul-Index: %d\r\n" % index, 1
         )
 
-    def document(self, entries: tuple[Entry, ...], index: int) -> bytes:
+    def document(self, entries: tuple[ListedEndpoint, ...], index: int) -> bytes:
         doc = [
             {
                 "Node": {"Node": "n", "Address": "127.0.0.1"},
@@ -245,17 +251,17 @@
         ]
         return self.http_response(doc, index)
 
-    def spoilt(self, how: str) -> bytes:
-        if how == "no list":
+    def invalid_answer(self, failure_kind: str) -> bytes:
+        if failure_kind == "no list":
             return self.http_response({}, self.index + 1)
         return self.http_response([], self.index + 1).replace(b"Index: ", b"Index: x")
 
 
 class File(Source):
-    """The operator's file and SIGHUP."""
+    """The site file, which is reloaded on SIGHUP."""
 
-    errs = ("no TOML", "a bad type", "a key missing", "an unknown key", "a bad address", "gone")
-    drains = counts = False
+    failure_kinds = ("no TOML", "a bad type", "a key missing", "an unknown key", "a bad address", "gone")
+    drains = has_versions = False
     FILE = """
 state = "{state}"
 [settings]
@@ -291,188 +297,196 @@
         self.config: Config = operator_config(self.path)
         self.exchange = self.desk.exchange
 
-    def text(self, entries: tuple[Entry, ...]) -> str:
+    def text(self, entries: tuple[ListedEndpoint, ...]) -> str:
         return self.FILE.format(state=self.folder) + "".join(
             f'[[instance]]\nname = "{e.name}"\naddress = "127.0.0.1:{e.port}"\nkind = "print-lab"\n'
             f"dest = {e.dest}\nrate = 50\n"
             for e in entries
         )
 
-    async def _loaded(self) -> None:
+    async def _reload_file(self) -> None:
         cast(Any, self).load_again(lambda: operator_config(self.path))
-        await self.passes(0.01)
+        await self.advance(0.01)
 
-    async def says(self, *entries: Entry) -> None:
+    async def provide_list(self, *entries: ListedEndpoint) -> None:
         self.path.write_text(self.text(entries))
-        await self._loaded()
+        await self._reload_file()
 
-    async def fails(self, how: str) -> None:
-        text = self.text((Entry("x"),))
-        spoilt = {
+    async def fail(self, failure_kind: str) -> None:
+        text = self.text((ListedEndpoint("x"),))
+        invalid_files = {
             "no TOML": text + "[",
             "a bad type": text.replace("rate = 50", 'rate = "x"'),
             "a key missing": text.replace("dest = 7\n", ""),
             "an unknown key": text + "colour = 1\n",
             "a bad address": text.replace('127.0.0.1:1"\nkind', '127.0.0.1:x"\nkind'),
         }
-        if how == "gone":
+        if failure_kind == "gone":
             self.path.unlink(missing_ok=True)
         else:
-            assert spoilt[how] != text
-            self.path.write_text(spoilt[how])
-        await self._loaded()
+            assert invalid_files[failure_kind] != text
+            self.path.write_text(invalid_files[failure_kind])
+        await self._reload_file()
 
 
-LOGS = ("rowanrack.app", "rowanrack.consul", "rowanrack.fronts.platform.discovery")
+SOURCE_LOGGERS = ("rowanrack.app", "rowanrack.consul", "rowanrack.fronts.platform.discovery")
 Check = Callable[[Source], Awaitable[None]]
 
 
-async def a_whole_list_replaces_its_own_entries_only(source: Source) -> None:
+async def full_list_replaces_only_entries_of_its_source(source: Source) -> None:
     source.desk.exchange.list_instances(UpdateScope.FULL, [instance("other", 9)], "other")
-    await source.says(Entry("a"), Entry("b", 2))
+    await source.provide_list(ListedEndpoint("a"), ListedEndpoint("b", 2))
     assert source.listed() == source.names("ab") | {"other"}
-    await source.says(Entry("b", 2))
+    await source.provide_list(ListedEndpoint("b", 2))
     assert source.listed() == source.names("b") | {"other"}
     source.desk.exchange.list_instances(UpdateScope.FULL, (), "other")
     assert source.listed() == source.names("b")
 
 
-async def what_is_gone_comes_back(source: Source) -> None:
+async def removed_endpoint_can_be_listed_again(source: Source) -> None:
     for _ in range(2):
-        await source.says(Entry("a"))
-        endpoint = source.desk.exchange.forwarder.endpoints[source.name("a")]
+        await source.provide_list(ListedEndpoint("a"))
+        endpoint = source.desk.exchange.forwarder.endpoints[source.listed_name("a")]
         assert endpoint.listed and source.listed() == source.names("a")
-        await source.says()
+        await source.provide_list()
         assert not source.desk.exchange.table.names() and not endpoint.listed
-        assert source.desk.closed.pop() == source.name("a")
+        assert source.desk.closed_idle.pop() == source.listed_name("a")
 
 
-async def what_drains_gets_nothing_new_and_comes_back(source: Source) -> None:
+async def draining_endpoint_gets_no_calls_and_can_serve_again(source: Source) -> None:
     if not source.drains:
         return
-    await source.says(Entry("a"))
+    await source.provide_list(ListedEndpoint("a"))
     attempt = source.desk.submit("m1", "album-update")
-    await source.says(Entry("a", drains=True))
-    found = source.desk.exchange.table.get(source.name("a"))
+    await source.provide_list(ListedEndpoint("a", drains=True))
+    found = source.desk.exchange.table.get(source.listed_name("a"))
     assert found is not None and found.status is EndpointStatus.DRAINING
     assert not source.desk.exchange.begin(attempt)
-    await source.says(Entry("a"))
+    await source.provide_list(ListedEndpoint("a"))
     assert source.listed() == source.names("a")
 
 
-async def what_moves_gets_nothing_that_was_meant_for_its_old_place(source: Source) -> None:
-    """Another destination's endpoint voids a message, and at an old address somebody else may answer."""
-    for n, moved in enumerate((Entry("a", dest=8), Entry("a", port=2))):
-        await source.says(Entry("a"))
+async def moved_endpoint_gets_no_calls_meant_for_its_old_address_or_destination(source: Source) -> None:
+    """An endpoint of another destination voids a message, and another server may use the old address."""
+    for n, moved in enumerate((ListedEndpoint("a", dest=8), ListedEndpoint("a", port=2))):
+        await source.provide_list(ListedEndpoint("a"))
         attempt = source.desk.submit(f"m{n}", "album-update")
-        assert attempt.endpoint.name == source.name("a")
-        source.desk.closed.clear()
-        await source.says(moved)
-        assert not source.desk.exchange.begin(attempt) and source.desk.closed == [source.name("a")]
-        found = source.desk.exchange.table.get(source.name("a"))
+        assert attempt.endpoint.name == source.listed_name("a")
+        source.desk.closed_idle.clear()
+        await source.provide_list(moved)
+        assert not source.desk.exchange.begin(attempt) and source.desk.closed_idle == [
+            source.listed_name("a")
+        ]
+        found = source.desk.exchange.table.get(source.listed_name("a"))
         assert found is not None and (found.dest, found.port) == (moved.dest, moved.port)
 
 
-async def the_same_list_changes_nothing(source: Source) -> None:
-    await source.says(Entry("a"), Entry("b", 2))
+async def equal_list_changes_nothing(source: Source) -> None:
+    await source.provide_list(ListedEndpoint("a"), ListedEndpoint("b", 2))
     attempt = source.desk.submit("m1", "album-update")
     before = dict(source.desk.exchange.forwarder.endpoints)
-    source.desk.closed.clear()
-    await source.says(Entry("b", 2), Entry("a"))
-    assert source.desk.exchange.forwarder.endpoints == before and not source.desk.closed
+    source.desk.closed_idle.clear()
+    await source.provide_list(ListedEndpoint("b", 2), ListedEndpoint("a"))
+    assert source.desk.exchange.forwarder.endpoints == before and not source.desk.closed_idle
     assert not source.desk.abandoned and source.desk.exchange.begin(attempt)
 
 
-async def what_fails_leaves_the_old_list_in_force(source: Source) -> None:
-    """Whatever comes or does not come, and it goes on with the next good list."""
-    await source.says(Entry("a"), Entry("b", 2))
-    for how in source.errs:
+async def failure_keeps_the_previous_list(source: Source) -> None:
+    """It must hold for each kind of failure, and the next valid list must be applied."""
+    await source.provide_list(ListedEndpoint("a"), ListedEndpoint("b", 2))
+    for failure_kind in source.failure_kinds:
         for _ in range(2):
-            await source.fails(how)
-            assert source.listed() == source.names("ab"), how
-    await source.says(Entry("c", 3))
+            await source.fail(failure_kind)
+            assert source.listed() == source.names("ab"), failure_kind
+    await source.provide_list(ListedEndpoint("c", 3))
     assert source.listed() == source.names("c")
 
 
-async def after_failures_news_are_known_within_6_s(source: Source) -> None:
-    """However long it has failed, and if the first call after that falls silent."""
-    if not isinstance(source, Asked):
+async def after_failures_a_change_is_known_within_6_s(source: Source) -> None:
+    """It must hold after repeated failures, and if the first call after them gets no answer."""
+    if not isinstance(source, HttpSource):
         return
-    for how in ("broken", "refused", "busy", "no JSON", "no list"):
-        await source.says(Entry("a"))
+    for failure_kind in ("broken", "refused", "busy", "no JSON", "no list"):
+        await source.provide_list(ListedEndpoint("a"))
         for _ in range(6):
-            await source.fails(how)
-        back = source.desk.now
-        await source.call()
-        await source.says(Entry(how))
-        assert source.listed() == source.names([how]) and source.desk.now - back <= 6 * SECOND_US, how
-
-
-async def a_call_that_falls_silent_is_given_up_soon_behind_its_wait(source: Source) -> None:
-    if isinstance(source, Asked):
-        await source.says(Entry("a"))
-        wire, target = await source.call()
+            await source.fail(failure_kind)
+        available_at = source.desk.now
+        await source.next_call()
+        await source.provide_list(ListedEndpoint(failure_kind))
+        assert (
+            source.listed() == source.names([failure_kind])
+            and source.desk.now - available_at <= 6 * SECOND_US
+        ), failure_kind
+
+
+async def unanswered_call_is_closed_soon_after_its_wait(source: Source) -> None:
+    if isinstance(source, HttpSource):
+        await source.provide_list(ListedEndpoint("a"))
+        stream, target = await source.next_call()
         wait_s = float(target.partition("wait=")[2].removesuffix("s")) * (1 if "60s" in target else 0.001)
-        await source.passes(wait_s * 17 / 16 + 2)  # Consul's waits last up to a sixteenth longer
-        assert wire.ended
-
-
-async def answers_that_do_not_wait_are_not_followed_in_haste(source: Source) -> None:
-    if isinstance(source, Asked):
-        await source.says(Entry("a"))
-        source.hasty = []
-        (await source.call())[0].feed(source.document((Entry("a"),), source.index))
-        await source.passes(3)
-        assert len(source.hasty) > 4
-        assert all(b - a >= 50_000 for a, b in zip(source.hasty, source.hasty[1:], strict=False))
+        await source.advance(wait_s * 17 / 16 + 2)  # Consul's waits last up to a sixteenth longer
+        assert stream.ended
+
+
+async def early_answers_cause_no_busy_loop(source: Source) -> None:
+    if isinstance(source, HttpSource):
+        await source.provide_list(ListedEndpoint("a"))
+        source.early_call_times = []
+        (await source.next_call())[0].feed(source.document((ListedEndpoint("a"),), source.index))
+        await source.advance(3)
+        assert len(source.early_call_times) > 4
+        assert all(
+            b - a >= 50_000
+            for a, b in zip(source.early_call_times, source.early_call_times[1:], strict=False)
+        )
 
 
-async def lower_versions_are_a_restart(source: Source) -> None:
-    """What went while it was away is gone; the next news count from there."""
-    if not isinstance(source, Asked):
+async def lower_version_is_treated_as_a_restart(source: Source) -> None:
+    """Endpoints removed during the restart are gone, and later changes count from the new version."""
+    if not isinstance(source, HttpSource):
         return
-    await source.says(Entry("a"), Entry("b", 2))
-    await source.restarts(Entry("b", 2), Entry("c", 3))
+    await source.provide_list(ListedEndpoint("a"), ListedEndpoint("b", 2))
+    await source.restart(ListedEndpoint("b", 2), ListedEndpoint("c", 3))
     assert source.listed() == source.names("bc")
-    await source.says(Entry("c", 3))
+    await source.provide_list(ListedEndpoint("c", 3))
     assert source.index == 3 and source.listed() == source.names("c")
 
 
-async def of_two_that_name_one_each_may_leave_it_out(source: Source) -> None:
-    own, exchange = source.name("a"), source.desk.exchange
-    await source.says(Entry("a"))
-    exchange.list_instances(UpdateScope.FULL, [instance(own, 9)], "other")
-    assert exchange.table.get(own).port == 9  # type: ignore[union-attr]
+async def endpoint_of_two_sources_stays_until_both_have_removed_it(source: Source) -> None:
+    name, exchange = source.listed_name("a"), source.desk.exchange
+    await source.provide_list(ListedEndpoint("a"))
+    exchange.list_instances(UpdateScope.FULL, [instance(name, 9)], "other")
+    assert exchange.table.get(name).port == 9  # type: ignore[union-attr]
     exchange.list_instances(UpdateScope.FULL, (), "other")
-    assert exchange.table.get(own).port == 1  # type: ignore[union-attr]
-    exchange.list_instances(UpdateScope.FULL, [instance(own, 9)], "other")
-    await source.says()
-    assert exchange.table.get(own).port == 9  # type: ignore[union-attr]
-    exchange.ban(own)
-    assert exchange.table.names() == {own} and not source.listed()
-    exchange.attach(own)
+    assert exchange.table.get(name).port == 1  # type: ignore[union-attr]
+    exchange.list_instances(UpdateScope.FULL, [instance(name, 9)], "other")
+    await source.provide_list()
+    assert exchange.table.get(name).port == 9  # type: ignore[union-attr]
+    exchange.ban(name)
+    assert exchange.table.names() == {name} and not source.listed()
+    exchange.attach(name)
     exchange.list_instances(
-        UpdateScope.DELTA, [replace(instance(own, 9), status=EndpointStatus.REMOVED)], "other"
+        UpdateScope.DELTA, [replace(instance(name, 9), status=EndpointStatus.REMOVED)], "other"
     )
     assert not exchange.table.names()
 
 
 CHECKS: list[Check] = [
-    a_whole_list_replaces_its_own_entries_only,
-    what_is_gone_comes_back,
-    what_drains_gets_nothing_new_and_comes_back,
-    what_moves_gets_nothing_that_was_meant_for_its_old_place,
-    the_same_list_changes_nothing,
-    what_fails_leaves_the_old_list_in_force,
-    after_failures_news_are_known_within_6_s,
-    a_call_that_falls_silent_is_given_up_soon_behind_its_wait,
-    answers_that_do_not_wait_are_not_followed_in_haste,
-    lower_versions_are_a_restart,
-    of_two_that_name_one_each_may_leave_it_out,
+    full_list_replaces_only_entries_of_its_source,
+    removed_endpoint_can_be_listed_again,
+    draining_endpoint_gets_no_calls_and_can_serve_again,
+    moved_endpoint_gets_no_calls_meant_for_its_old_address_or_destination,
+    equal_list_changes_nothing,
+    failure_keeps_the_previous_list,
+    after_failures_a_change_is_known_within_6_s,
+    unanswered_call_is_closed_soon_after_its_wait,
+    early_answers_cause_no_busy_loop,
+    lower_version_is_treated_as_a_restart,
+    endpoint_of_two_sources_stays_until_both_have_removed_it,
 ]
 
 
-async def checked(source: Source, check: Check) -> None:
+async def run_check(source: Source, check: Check) -> None:
     source.start()
     try:
         await check(source)
@@ -480,16 +494,16 @@
         source.close()
 
 
-def run(kind: type[Source], check: Check, folder: Path, patch: pytest.MonkeyPatch) -> None:
+def run(kind: type[Source], check: Check, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     source = kind(folder)
-    if isinstance(source, Asked):
-        patch.setattr(Stream, "connect", source.connect)
-    asyncio.run(checked(source, check))
+    if isinstance(source, HttpSource):
+        monkeypatch.setattr(Stream, "connect", source.connect)
+    asyncio.run(run_check(source, check))
 
 
 @pytest.mark.parametrize("check", CHECKS, ids=lambda check: check.__name__)
 @pytest.mark.parametrize("kind", [File, Discovery, Consul])
-def test_every_source_keeps_to_it(
+def test_every_source_meets_the_contract(
     kind: type[Source],
     check: Check,
     tmp_path: Path,
@@ -497,47 +511,47 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     run(kind, check, tmp_path, monkeypatch)
-    lines = [r.getMessage() for r in caplog.records if r.name in LOGS]
+    lines = [r.getMessage() for r in caplog.records if r.name in SOURCE_LOGGERS]
     assert not any("\n" in line for line in lines) and not any(r.exc_info for r in caplog.records)
-    if check is what_fails_leaves_the_old_list_in_force:
-        # One line for each reload of a bad file; one in 10 s for what comes again by itself.
-        assert len(lines) == (2 * len(File.errs) if kind is File else 1), lines
+    if check is failure_keeps_the_previous_list:
+        # One log line for each reload of an invalid file, but one in 10 s for failures that are retried.
+        assert len(lines) == (2 * len(File.failure_kinds) if kind is File else 1), lines
 
 
-class Forgets(Discovery):
-    """Broken on purpose: it takes a failure for an empty list."""
+class ClearsOnFailure(Discovery):
+    """Deliberately faulty: it treats a failure as an empty list."""
 
     def start(self) -> None:
         super().start()
-        told = self.desk.exchange.list_instances
+        original = self.desk.exchange.list_instances
 
-        def forgets(scope: UpdateScope, entries: Any, source: str = "") -> None:
-            told(UpdateScope.FULL if scope is UpdateScope.FAILED else scope, entries, source)
+        def clear_on_failure(scope: UpdateScope, entries: Any, source: str = "") -> None:
+            original(UpdateScope.FULL if scope is UpdateScope.FAILED else scope, entries, source)
 
-        self.desk.exchange.list_instances = forgets  # type: ignore[method-assign,assignment]
+        self.desk.exchange.list_instances = clear_on_failure  # type: ignore[method-assign,assignment]
 
 
-class Mixes(Consul):
-    """Broken on purpose: it lists under another's name."""
+class UsesWrongSource(Consul):
+    """Deliberately faulty: it updates the entries of another source."""
 
     def start(self) -> None:
         super().start()
-        told = self.desk.exchange.list_instances
-        self.desk.exchange.list_instances = lambda scope, news, source="": told(  # type: ignore[method-assign,assignment]
-            scope, news, "other"
+        original = self.desk.exchange.list_instances
+        self.desk.exchange.list_instances = lambda scope, entries, source="": original(  # type: ignore[method-assign,assignment]
+            scope, entries, "other"
         )
 
 
 @pytest.mark.parametrize(
-    ("twin", "caught_by"),
+    ("faulty_source", "failing_check"),
     [
-        (Forgets, what_fails_leaves_the_old_list_in_force),
-        (Mixes, a_whole_list_replaces_its_own_entries_only),
+        (ClearsOnFailure, failure_keeps_the_previous_list),
+        (UsesWrongSource, full_list_replaces_only_entries_of_its_source),
     ],
 )
-def test_a_broken_source_is_found_out(
-    twin: type[Source], caught_by: Check, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_faulty_source_fails_the_check(
+    faulty_source: type[Source], failing_check: Check, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with pytest.raises(AssertionError):
-        run(twin, caught_by, tmp_path, monkeypatch)
-    assert caught_by in CHECKS
+        run(faulty_source, failing_check, tmp_path, monkeypatch)
+    assert failing_check in CHECKS
--- a/tests/test_mgmt.py
+++ b/tests/test_mgmt.py
@@ -1,4 +1,4 @@
-"""The operators' calls, figures, detach and attach, lame duck, and the two journal slots of a hot restart."""
+"""Operators' calls, metrics, detach and attach, lame duck, and the journal slots of a hot restart."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from tests.test_platform import OK
 
 
-class Ops:
-    """What the calls reach, as a record of what they asked."""
+class FakeOperations:
+    """Fake operations that record what the calls requested."""
 
     def __init__(self) -> None:
         self.is_ready, self.known, self.detached, self.lame = True, {"s-1"}, set[str](), False
@@ -46,9 +46,9 @@
         return name in self.known
 
     def attach(self, name: str) -> bool:
-        was = name in self.detached
+        was_detached = name in self.detached
         self.detached.discard(name)
-        return was
+        return was_detached
 
     def lameduck(self, on: bool) -> None:
         self.lame = on
@@ -74,22 +74,25 @@
         ("POST", "/_layout", b"{}", 404),
     ],
 )
-def test_each_call_has_its_answer(method: str, target: str, body: bytes, status: int) -> None:
-    assert asyncio.run(answer_with_channels(Request(method, target, {}, body), Ops())).status == status
+def test_each_call_is_answered_with_its_status(method: str, target: str, body: bytes, status: int) -> None:
+    assert (
+        asyncio.run(answer_with_channels(Request(method, target, {}, body), FakeOperations())).status
+        == status
+    )
 
 
-def test_ready_turns_and_lame_duck_is_passed_on() -> None:
-    ops = Ops()
-    ops.is_ready = False
-    reply = answer_locally(Request("GET", "/_ready", {}, b""), ops)
+def test_ready_call_reports_the_reason_and_lame_duck_calls_are_passed_on() -> None:
+    operations = FakeOperations()
+    operations.is_ready = False
+    reply = answer_locally(Request("GET", "/_ready", {}, b""), operations)
     assert reply.status == 503 and reply.body == b"not ready: lame duck\n"
-    answer_locally(Request("POST", "/_lameduck/on", {}, b""), ops)
-    assert ops.lame
-    answer_locally(Request("POST", "/_lameduck/off", {}, b""), ops)
-    assert not ops.lame
+    answer_locally(Request("POST", "/_lameduck/on", {}, b""), operations)
+    assert operations.lame
+    answer_locally(Request("POST", "/_lameduck/off", {}, b""), operations)
+    assert not operations.lame
 
 
-def test_the_figures_count_by_class_and_name_every_class() -> None:
+def test_metrics_count_by_class_and_include_every_class() -> None:
     figures = Metrics()
     figures.ended("print-order", Ending.DELIVERED)
     figures.ended("print-order", Ending.FAILED)
@@ -107,7 +110,7 @@
 
 
 @on_loop
-async def test_a_detached_endpoint_stays_draining_whatever_the_list_says(tmp_path: Path) -> None:
+async def test_detached_endpoint_stays_draining_after_a_new_list(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         exchange = rig.sender.exchange
         assert not exchange.detach("nobody")
@@ -121,7 +124,7 @@
 
 
 @on_loop
-async def test_a_ban_outlasts_the_process(tmp_path: Path) -> None:
+async def test_detach_survives_a_restart(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         assert rig.sender.detach("i0")
         rig.sender.close()
@@ -132,18 +135,18 @@
 
 
 @on_loop
-async def test_a_detach_that_cannot_be_written_holds_says_so_and_is_written_once_it_can(
+async def test_detach_that_cannot_be_persisted_takes_effect_is_reported_and_written_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was answered 200 and lost with the process: only the log said that nothing had been written."""
+    """Guards against a detach that was answered with 200 but not persisted, which only the log told."""
 
-    def full(*_: object) -> None:
+    def raise_no_space(*_: object) -> None:
         raise OSError(errno.ENOSPC, "No space left on device")
 
     async with Rig(tmp_path, answers(OK)) as rig:
         detach = Request("POST", "/_endpoints/detach", {}, b'{"name":"i0"}')
-        with monkeypatch.context() as disk:
-            disk.setattr(os, "replace", full)
+        with monkeypatch.context() as full_disk:
+            full_disk.setattr(os, "replace", raise_no_space)
             reply = answer_locally(detach, rig.sender)
             assert reply.status == 507 and b"No space left" in reply.body and reply.body.count(b"\n") == 1
             assert not rig.sender.exchange.table.listed("i0")
@@ -154,18 +157,18 @@
         assert not [p for p in tmp_path.iterdir() if p.suffix == ".new"]
 
 
-def test_bans_written_by_one_process_are_read_by_the_other(tmp_path: Path) -> None:
-    one, other = BanFile(tmp_path), BanFile(tmp_path)
-    assert one.changed() == set()
-    one.write({"s-1", "s-2"})
-    assert one.changed() is None
-    assert other.changed() == {"s-1", "s-2"}
-    assert other.changed() is None
+def test_detached_endpoints_written_by_one_process_are_read_by_the_other(tmp_path: Path) -> None:
+    first_file, second_file = BanFile(tmp_path), BanFile(tmp_path)
+    assert first_file.changed() == set()
+    first_file.write({"s-1", "s-2"})
+    assert first_file.changed() is None
+    assert second_file.changed() == {"s-1", "s-2"}
+    assert second_file.changed() is None
 
 
-async def call(port: int, wire: bytes) -> bytes:
+async def send_call(port: int, request: bytes) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(wire)
+    writer.write(request)
     try:
         return await asyncio.wait_for(reader.read(), 3)
     finally:
@@ -173,36 +176,36 @@
 
 
 @on_loop
-async def test_calls_on_real_sockets_beside_a_caller_that_holds_its_connection(tmp_path: Path) -> None:
+async def test_calls_are_answered_while_another_connection_stays_incomplete(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         assert rig.sender.mgmt is not None
         port = rig.sender.mgmt.port
-        held, holder = await asyncio.open_connection("127.0.0.1", port)
-        holder.write(b"GET /_ready HTTP/1.1\r\nHost: x\r\n")  # and never the rest
-        ready = await call(port, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        slow_reader, slow_writer = await asyncio.open_connection("127.0.0.1", port)
+        slow_writer.write(b"GET /_ready HTTP/1.1\r\nHost: x\r\n")  # the request is never completed
+        ready = await send_call(port, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert ready.startswith(b"HTTP/1.1 200")
-        figures = await call(port, b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert b"svc_outstanding 0" in figures and b"svc_succeeded{service=" in figures
+        metrics = await send_call(port, b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert b"svc_outstanding 0" in metrics and b"svc_succeeded{service=" in metrics
         body = json.dumps({"name": "i0"}).encode()
         head = f"POST /_endpoints/detach HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
-        assert (await call(port, head.encode() + body)).startswith(b"HTTP/1.1 200")
+        assert (await send_call(port, head.encode() + body)).startswith(b"HTTP/1.1 200")
         assert not rig.sender.exchange.table.listed("i0")
-        assert (await call(port, b"NOT HTTP AT ALL\r\n\r\n")).startswith(b"HTTP/1.1 400")
-        # The caller that never finished its call hears 408, and the sender still answers others.
-        assert (await asyncio.wait_for(held.read(), 3)).startswith(b"HTTP/1.1 408")
-        assert (await call(port, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")).startswith(b"HTTP/1.1 200")
-        holder.close()
+        assert (await send_call(port, b"NOT HTTP AT ALL\r\n\r\n")).startswith(b"HTTP/1.1 400")
+        # The incomplete request is answered with 408, and the sender still answers others.
+        assert (await asyncio.wait_for(slow_reader.read(), 3)).startswith(b"HTTP/1.1 408")
+        assert (await send_call(port, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")).startswith(b"HTTP/1.1 200")
+        slow_writer.close()
 
 
 @on_loop
-async def test_in_lame_duck_ping_says_no_and_connections_end_between_requests(tmp_path: Path) -> None:
+async def test_in_lame_duck_ping_fails_and_connections_close_between_requests(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
-        kept = await rig.client()
-        assert await kept.command("PING") == b"+PONG\r\n"
+        idle_client = await rig.client()
+        assert await idle_client.command("PING") == b"+PONG\r\n"
         rig.sender.lameduck(True)
         assert not rig.sender.ready()
-        with contextlib.suppress(ConnectionError):  # the kept connection, idle, is closed at once
-            assert not await kept.stream.fill()
+        with contextlib.suppress(ConnectionError):  # the idle connection is closed at once
+            assert not await idle_client.stream.fill()
         client = await rig.client()
         assert (await client.command("PING")).startswith(b"-")
         with contextlib.suppress(ConnectionError):  # closed after its answer
@@ -216,7 +219,7 @@
     return Message(name, "c", "t", 3, 5_000_000, b"body", "platform", "f")
 
 
-def test_the_next_process_takes_over_what_the_one_before_left(tmp_path: Path) -> None:
+def test_next_process_takes_over_the_messages_of_the_previous_one(tmp_path: Path) -> None:
     old = Journal(tmp_path, 3_000_000, lambda: 1_000_000)
     old.open()
     new = Journal(tmp_path, 3_000_000, lambda: 1_000_000)
@@ -225,23 +228,26 @@
     assert old.shared() and new.shared()
     assert old.take(message("a")) and old.take(message("b"))
     old.end(message("b"), End(Ending.FAILED))
-    assert new.absorb() is None  # the old one still holds its slot
+    assert new.absorb() is None  # the old process still holds the lock of its slot
     old.close()
-    taken = new.absorb()
-    assert taken is not None and [m.id for m in taken] == ["a"]
+    absorbed = new.absorb()
+    assert absorbed is not None and [m.id for m in absorbed] == ["a"]
     assert new.ended("b") == End(Ending.FAILED) and new.absorbed == ["b"]
     assert not (tmp_path / "messages.log").exists()
     new.close()
-    again = Journal(tmp_path, 3_000_000, lambda: 1_000_000)
-    again.open()
-    assert again.slot == "messages" and list(again.owed) == []
-    assert again.absorb() is not None and list(again.owed) == ["a"]
-    assert replace(again.owed["a"], guard=None).id == "a"
+    reopened = Journal(tmp_path, 3_000_000, lambda: 1_000_000)
+    reopened.open()
+    assert reopened.slot == "messages" and list(reopened.owed) == []
+    assert reopened.absorb() is not None and list(reopened.owed) == ["a"]
+    assert replace(reopened.owed["a"], guard=None).id == "a"
 
 
 @on_loop
-async def test_a_second_process_serves_beside_the_first_and_takes_over(tmp_path: Path) -> None:
-    """Before SO_REUSEPORT and the journal's slots the second start ended at once: the port was in use."""
+async def test_second_process_serves_beside_the_first_and_takes_over(tmp_path: Path) -> None:
+    """Guards against a second process that exits at once since the port is in use.
+
+    SO_REUSEPORT and the two journal slots allow both processes to run.
+    """
     async with Rig(tmp_path, answers(OK)) as rig, Process(rig, tmp_path) as old:
         new = await old.another()
         try:
@@ -260,7 +266,7 @@
 
 
 @on_loop
-async def test_what_the_first_process_still_owes_is_taken_over_by_the_second(tmp_path: Path) -> None:
+async def test_unfinished_messages_of_the_first_process_are_taken_over_by_the_second(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig, Process(rig, tmp_path) as old:
         client = await old.client()
         assert await client.submit("m1", d=5000) == b"+OK\r\n"
@@ -281,13 +287,13 @@
             await new.wait()
 
 
-def test_a_start_waits_out_a_look_at_the_other_slot(tmp_path: Path) -> None:
-    """The old process's look at the other slot, at SIGTERM, made a start at that moment fail outright."""
+def test_start_waits_while_the_other_slot_is_briefly_locked(tmp_path: Path) -> None:
+    """Guards against a failed start while the old process, at SIGTERM, briefly locks the other slot."""
     old = Journal(tmp_path, 3_000_000, lambda: 1_000_000)
     old.open()
-    looking = os.open(tmp_path / "messages.b.lock", os.O_RDWR | os.O_CREAT)
-    fcntl.flock(looking, fcntl.LOCK_EX)
-    threading.Timer(0.05, os.close, (looking,)).start()
+    lock_descriptor = os.open(tmp_path / "messages.b.lock", os.O_RDWR | os.O_CREAT)
+    fcntl.flock(lock_descriptor, fcntl.LOCK_EX)
+    threading.Timer(0.05, os.close, (lock_descriptor,)).start()
     new = Journal(tmp_path, 3_000_000, lambda: 1_000_000)
     new.open()
     assert new.slot == "messages.b"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -86,7 +86,7 @@
         rig.sender.reload(replace(config, platform=replace(config.platform, discovery=("127.0.0.1", port))))
         async with rig.platform.news:  # the old address has no caller any more
             assert len(rig.platform.requests) == 1
-        while rig.sender.watch is not None and rig.sender.watch.failed < 3:
+        while rig.sender.watch is not None and rig.sender.watch.failures_since_move < 3:
             await asyncio.sleep(0)
         late.port = port
         async with late:
