--- a/benchmarks/channels.py
+++ b/benchmarks/channels.py
@@ -170,7 +170,7 @@
             behind["behind_s"].append(play.clock.now - least)
             mine = [c for c in map(str, range(channels)) if site.layouts.whole(site.name, c)]
             if mine:
-                counting = {name: each.promise.at for name, each in site.log.counting().items()}
+                counting = {name: each.promise.at for name, each in site.log.counted_promises().items()}
                 least = min(counting.get(name, 0) for name in live if name != site.name)
                 behind["channels_s"].append(play.clock.now - max(least, START_US))
     met, known = play.met, list[int]()
@@ -196,8 +196,8 @@
 
 
 def _fleet(site: Site) -> int:
-    site.log.tracked.follow(site.layouts)
-    return site.log.tracked.fleet
+    site.log.head_index.follow(site.layouts)
+    return site.log.head_index.fleet_digest
 
 
 def _mean_and_most(values: Sequence[int]) -> tuple[float, float]:
@@ -251,7 +251,7 @@
         events = site.write([*noted, Noted(FLEET, "k", packed({}), play.clock.now)])
         for keeper in (one, two):
             keeper.log.merge(events)
-            keeper.log.heard(site.name, [site.log.promise()])
+            keeper.log.receive_promises(site.name, [site.log.promise()])
     for _ in range(4):
         play.exchange(one.name, two.name)
     play.met = Met()
--- a/rowanrack/channels/__init__.py
+++ b/rowanrack/channels/__init__.py
@@ -1,8 +1,8 @@
-"""The event log of each channel: what happened at a partner, in one order at every site, however they met.
+"""The replicated event log of each channel, with the same order of events at every site.
 
-A channel is a partner (its destination number in decimal) or `fleet`, for what operators do. The package
-owns what an event is and how events are ordered (`events`), each site's stamps (`clock`), the log of a site
-and how the logs of two merge (`log`, `sync`), who keeps which channel since when (`layout`), whom a read of
-the past asks (`reads`) and what a partner was like then (`past`). No I/O: stores, links and clocks come
-through `ports`. Design: docs/channels.md.
+A channel belongs to a destination (its number in decimal), or is `fleet`, for operator actions. The package
+defines events and their order (`events`), the clock of a site (`clock`), the log of a site and the merging of
+two logs (`log`, `sync`), which sites keep which channel (`layout`), reads of past states (`reads`), and the
+state of a destination at a past time (`past`). It does no I/O: stores, links and clocks are passed in through
+the interfaces of `ports`. Design: docs/channels.md.
 """
--- a/rowanrack/channels/bans.py
+++ b/rowanrack/channels/bans.py
@@ -1,51 +1,56 @@
-"""Detaches as a set that merges: an attach undoes only those that it names. Source: docs/channels.md."""
+"""Detached endpoints as a mergeable set: an attach undoes only the detaches it names.
+
+Design: docs/channels.md.
+"""
 
 from __future__ import annotations
 
 from rowanrack.channels.events import ATTACHED, DETACHED, FLEET, Event, written
 
-Id = tuple[str, str, int]  # site, life, number on FLEET, as its process wrote it
+EventId = tuple[str, str, int]  # site, incarnation and number of an event on FLEET, as its process wrote it
 
 
 class Detaches:
-    """Which endpoints are detached: the same set whatever order the events came in."""
+    """The set of detached endpoints; it does not depend on the order in which events arrive."""
 
     def __init__(self) -> None:
-        self._standing: dict[str, set[Id]] = {}
-        self._undone: set[tuple[str, Id]] = set()  # by endpoint: doubles may have used one id for two
+        self._detaches: dict[str, set[EventId]] = {}
+        self._undone: set[tuple[str, EventId]] = (
+            set()
+        )  # with the endpoint, as duplicate processes may have used one id twice
 
     def saw(self, event: Event) -> None:
-        """Take an event in; what is no detach or attach passes. Raises ValueError: a broken payload."""
+        """Apply a detach or an attach; ignore other events. Raises ValueError if the payload is malformed."""
         if event.channel != FLEET or event.kind not in (DETACHED, ATTACHED):
             return
         payload = event.payload()
         endpoint = payload.get("endpoint")
         if not isinstance(endpoint, str):
-            raise ValueError(f"event {event.id}: `endpoint` is no text")
+            raise ValueError(f"event {event.id}: `endpoint` is not a string")
         if event.kind == DETACHED:
-            name = written(event)
-            if (endpoint, name) not in self._undone:
-                self._standing.setdefault(endpoint, set()).add(name)
+            event_id = written(event)
+            if (endpoint, event_id) not in self._undone:
+                self._detaches.setdefault(endpoint, set()).add(event_id)
             return
-        undoes = {_id(event, each) for each in payload.get("undoes") or ()}
-        self._undone |= {(endpoint, each) for each in undoes}
-        left = self._standing.get(endpoint, set()) - undoes
-        if left:
-            self._standing[endpoint] = left
+        undoes = {_parse_event_id(event, reference) for reference in payload.get("undoes") or ()}
+        self._undone |= {(endpoint, reference) for reference in undoes}
+        remaining = self._detaches.get(endpoint, set()) - undoes
+        if remaining:
+            self._detaches[endpoint] = remaining
         else:
-            self._standing.pop(endpoint, None)
+            self._detaches.pop(endpoint, None)
 
     def detached(self) -> set[str]:
-        """The endpoints that are detached now."""
-        return set(self._standing)
+        """Return the endpoints that are detached now."""
+        return set(self._detaches)
 
     def undoes(self, endpoint: str) -> list[list[str | int]]:
-        """What an attach of this endpoint names now: [site, life, number] of each detach seen, in order."""
-        return [list(each) for each in sorted(self._standing.get(endpoint, ()))]
+        """Return what an attach of this endpoint must name: [site, incarnation, number] of each detach, sorted."""
+        return [list(event_id) for event_id in sorted(self._detaches.get(endpoint, ()))]
 
 
-def _id(event: Event, each: object) -> Id:
-    match each:
+def _parse_event_id(event: Event, reference: object) -> EventId:
+    match reference:
         case [str(site), str(life), int(number)]:
             return site, life, number
-    raise ValueError(f"event {event.id}: `undoes` holds what is no [site, life, number]")
+    raise ValueError(f"event {event.id}: `undoes` contains an entry that is not [site, life, number]")
--- a/rowanrack/channels/events.py
+++ b/rowanrack/channels/events.py
@@ -1,4 +1,4 @@
-"""What an event is, its one place in the order, and its bytes. Source: docs/channels.md."""
+"""Events, their order within a channel, and their encoding. Design: docs/channels.md."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 import msgspec
 from blake3 import blake3
 
-FLEET = "fleet"  # the channel of what operators do; every site keeps it whole
+FLEET = "fleet"  # the channel of operator actions; every site keeps all of it
 CHAIN_BYTES = 8
-START = bytes(CHAIN_BYTES)  # the chain in front of a stream's first event
+START = bytes(CHAIN_BYTES)  # the chain before a stream's first event
 
-# The kinds that this version writes. Others, from a newer version, are kept and passed on unread.
+# The event kinds that this version writes; each comment shows the payload. Unknown kinds, from a newer
+# version, are stored and forwarded without being decoded.
 TAKEN = "taken"  # {"message", "class", "tenant", "left_us"}
 BEGUN = "begun"  # {"message", "leg", "endpoint"}: a call's first byte is about to go out
 MAY_HAVE_RUN = "may-have-run"  # {"message", "leg", "endpoint", "result"}
 NEVER_RAN = "never-ran"  # {"message", "leg", "endpoint", "result"}
-DELIVERED, REFUSED, FAILED = "delivered", "refused", "failed"  # {"message"}, a refusal's also {"again_us"}
-WAIT = "wait"  # {"endpoint", "wait_us"}: a wait was told
-OUT, BACK = "out", "back"  # {"endpoint"}: an outage seen, and over
+DELIVERED, REFUSED, FAILED = "delivered", "refused", "failed"  # {"message"}, for a refusal also {"again_us"}
+WAIT = "wait"  # {"endpoint", "wait_us"}: a retry-after wait
+OUT, BACK = "out", "back"  # {"endpoint"}: an outage began, or ended
 LISTED, DRAINING, GONE = "listed", "draining", "gone"  # {"endpoint", "kind", "rate"}
-LOST = "lost"  # {"count", "from", "to"}: events of this origin that no store had room for
+LOST = "lost"  # {"count", "from", "to"}: events of this origin that could not be stored
 DETACHED = "detached"  # {"endpoint"}, on FLEET
 ATTACHED = "attached"  # {"endpoint", "undoes": [[site, life, number], ...]}, on FLEET
 LAYOUT = "layout"  # {"version", "from", "shards", "keepers", "sites": [[name, weight], ...]}, on FLEET
-KEPT = "kept"  # {"version", "shard", "layout"}, on FLEET: its origin now keeps this shard whole
+KEPT = "kept"  # {"version", "shard", "layout"}, on FLEET: its origin now has the whole shard
 
-_plain, _sorted = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Encoder(order="sorted").encode
+_encode, _encode_sorted = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Encoder(order="sorted").encode
 
 
 class Stream(NamedTuple):
-    """One origin's events on one channel: `site` is the sender's name, `life` its incarnation."""
+    """The events of one origin on one channel. `site` is the sender's name, `life` its incarnation."""
 
     channel: str
     site: str
@@ -40,7 +41,7 @@
 
 
 class Place(NamedTuple):
-    """Where an event stands in its channel's order, the same at every site. Times are Unix microseconds."""
+    """The position of an event in its channel's order, the same at every site; `at` is a Unix time in us."""
 
     at: int
     tick: int
@@ -50,11 +51,12 @@
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
-    """Something that happened on a channel. It never changes once it has its number.
+    """An event on a channel. It never changes once it has a number.
 
-    `number` counts from 1 without gaps in its stream. `at` and `tick` are its hybrid logical time: both grow
-    along a stream, and an event comes behind all that its origin had seen of the channel when it wrote it.
-    `chain` is the stream's digest up to and including this event: two streams under one name show by it.
+    `number` counts from 1 without gaps within a stream. (`at`, `tick`) is the hybrid logical time, which
+    grows along a stream; an event is later than all events of the channel that its origin knew when it was
+    written. `chain` is a digest of the stream up to and including this event; it reveals two streams under
+    one name.
     """
 
     channel: str
@@ -64,45 +66,45 @@
     at: int
     tick: int
     kind: str
-    data: bytes  # the payload as msgpack: a map, unread where the kind is not known
+    data: bytes  # the payload, a msgpack map; not decoded if the kind is unknown
     chain: bytes = START
 
     @property
     def stream(self) -> Stream:
-        """The stream that it belongs to."""
+        """The stream of the event."""
         return Stream(self.channel, self.site, self.life)
 
     @property
     def place(self) -> Place:
-        """Its place in the channel's order."""
+        """The position in the channel's order."""
         return Place(self.at, self.tick, self.site, self.life, self.number)
 
     @property
     def id(self) -> str:
-        """Its name for people: site/life/number on its channel."""
+        """A readable id: site/life/number, unique within the channel."""
         return f"{self.site}/{self.life}/{self.number}"
 
     def payload(self) -> dict[str, Any]:
-        """The payload. Raises ValueError if it is no map."""
-        found = msgspec.msgpack.decode(self.data)
-        if not isinstance(found, dict):
-            raise ValueError(f"event {self.id}: the payload is no map")
-        return found
+        """Decode the payload. Raises ValueError if it is not a map."""
+        decoded = msgspec.msgpack.decode(self.data)
+        if not isinstance(decoded, dict):
+            raise ValueError(f"event {self.id}: the payload is not a map")
+        return decoded
 
 
 class Head(NamedTuple):
-    """How far a stream goes where it is kept: events with floor < number <= number are there."""
+    """The extent of a stream in a log: events after `floor` and up to `number` are stored."""
 
     stream: Stream
-    floor: int  # the highest number that retention or a loss has taken; 0: it is there from its start
-    number: int  # the highest number
-    at: int  # that event's hybrid time
+    floor: int  # highest number removed by retention or lost; 0: none
+    number: int  # highest number
+    at: int  # hybrid logical time of that event, with `tick`
     tick: int
     chain: bytes
 
 
 class Gap(NamedTuple):
-    """Events that are not here and never will be: numbers first to last of a stream, and why, for people."""
+    """Events that will never be available: numbers `first` to `last` of a stream; `why` is for operators."""
 
     stream: Stream
     first: int
@@ -110,58 +112,59 @@
     why: str
 
 
-def chained(before: bytes, event: Event) -> bytes:
-    """The chain of an event behind that of the event before it; a branch's events keep theirs."""
+def chained(previous_chain: bytes, event: Event) -> bytes:
+    """Return the chain of an event, given the previous one; events moved to a branch keep their chains."""
     return next_chain(
-        before,
+        previous_chain,
         (event.channel, event.site, event.life, event.number, event.at, event.tick, event.kind, event.data),
     )
 
 
-def next_chain(before: bytes, bare: tuple[str, str, str, int, int, int, str, bytes]) -> bytes:
-    """The same of an event that is still to be made: `bare` is all of it but its chain, in its order."""
-    if "~" in bare[2] and (branch := _branch(bare[2])) is not None:
-        before = branch.before if bare[3] == 1 else before
-        bare = (*bare[:2], branch.life, bare[3] + branch.number - 1, *bare[4:])
-    return blake3(before + _plain(bare)).digest(CHAIN_BYTES)
+def next_chain(previous_chain: bytes, fields: tuple[str, str, str, int, int, int, str, bytes]) -> bytes:
+    """Return the chain of an event from its other fields, in their order, without creating it."""
+    if "~" in fields[2] and (branch := _parse_branch(fields[2])) is not None:
+        previous_chain = branch.previous_chain if fields[3] == 1 else previous_chain
+        fields = (*fields[:2], branch.life, fields[3] + branch.number - 1, *fields[4:])
+    return blake3(previous_chain + _encode(fields)).digest(CHAIN_BYTES)
 
 
 class Branch(NamedTuple):
-    """Where a branch of a doubled stream begins: its first event as its process wrote it."""
+    """The start of a branch of a forked stream: its first event as originally written."""
 
     life: str
     number: int
-    before: bytes  # the chain in front of it
+    previous_chain: bytes  # the chain before that event
 
 
 _BRANCH = re.compile(r"(.+)~([1-9][0-9]{0,17})\.([0-9a-f]{16})\.[0-9a-f]{16}")
 
 
 @lru_cache(1 << 10)
-def _branch(life: str) -> Branch | None:
-    found = _BRANCH.fullmatch(life)
-    return Branch(found[1], int(found[2]), bytes.fromhex(found[3])) if found else None
+def _parse_branch(life: str) -> Branch | None:
+    match = _BRANCH.fullmatch(life)
+    return Branch(match[1], int(match[2]), bytes.fromhex(match[3])) if match else None
 
 
 def written(event: Event) -> tuple[str, str, int]:
-    """Site, incarnation and number under which its process wrote an event: what an attach names it by."""
-    if "~" in event.life and (branch := _branch(event.life)) is not None:
+    """Return the site, incarnation and number under which an event was originally written."""
+    if "~" in event.life and (branch := _parse_branch(event.life)) is not None:
         return event.site, branch.life, branch.number + event.number - 1
     return event.site, event.life, event.number
 
 
-def branched(first: Event, before: bytes) -> str:
-    """The incarnation of the branch that begins with an event, behind a chain.
+def branched(first: Event, previous_chain: bytes) -> str:
+    """Return the incarnation name of the branch that starts with an event, after a chain.
 
-    It is made of that event as it was written (its number, the chain in front of it and its own), so it is
-    the same whichever of its branches was met first, and a branch of a branch is named as one of the stem.
+    The name is built from the event as originally written: its number, the chain before it and its own. It
+    therefore does not depend on the order in which branches are found, and a branch of a branch is named as a
+    branch of the original stream.
     """
     _, life, number = written(first)
-    if first.number == 1 and (stem := _branch(first.life)) is not None:
-        before = stem.before
-    return f"{life}~{number}.{before.hex()}.{first.chain.hex()}"
+    if first.number == 1 and (outer := _parse_branch(first.life)) is not None:
+        previous_chain = outer.previous_chain
+    return f"{life}~{number}.{previous_chain.hex()}.{first.chain.hex()}"
 
 
 def packed(payload: dict[str, Any]) -> bytes:
-    """A payload's bytes: the same for equal payloads, whatever order their keys were given in."""
-    return _sorted(payload)
+    """Encode a payload; equal payloads have equal bytes, whatever the order of their keys."""
+    return _encode_sorted(payload)
--- a/rowanrack/channels/ports.py
+++ b/rowanrack/channels/ports.py
@@ -1,4 +1,4 @@
-"""What the channels' log asks of the world: a store, links to other sites, and time."""
+"""The interfaces that the event log needs: a store, links to other sites, and clocks."""
 
 from __future__ import annotations
 
@@ -9,86 +9,92 @@
 
 
 class LogError(Exception):
-    """The store failed; the text is one plain line. What was asked for was not done, not even in part."""
+    """The store failed; the text is a single line. The operation had no effect, not even in part."""
 
 
 class LogFullError(LogError):
-    """There is no room: it may be tried again once there is."""
+    """The store is full; the operation may be retried once there is space."""
 
 
 class LogStore(Protocol):
-    """Events on disk. Called by one thread at a time, never by the event loop's.
+    """Stores events on disk. Called by one thread at a time, never by that of the event loop.
 
-    Success means that it outlasts the process: killed right after, a reopened store has it. Every call that
-    changes something does all of it or nothing, and raises LogError or LogFullError for nothing.
+    A change that succeeded survives a kill of the process right after it. Every call that changes something
+    is atomic: it raises LogError or LogFullError if it changed nothing.
     """
 
     def open(self) -> None:
-        """Be ready. Raises LogError: another process has it open, it is damaged past use, it is no log."""
+        """Open the store.
+
+        Raises LogError if another process has it open, it is damaged beyond use, or it is not an event log.
+        """
 
     def close(self) -> None:
-        """Let go of it."""
+        """Close the store."""
 
     def append(self, events: Sequence[Event], marks: dict[str, bytes] | None = None) -> None:
-        """Keep events, each the next of its stream (number = head's + 1), and marks, together.
+        """Store events, each the next one of its stream (number = head's + 1), and marks, atomically.
 
-        Raises ValueError if one is not the next of its stream: nothing is kept then.
+        Raises ValueError, and stores nothing, if an event is not the next one of its stream.
         """
 
     def heads(self) -> list[Head]:
-        """How far each stream goes."""
+        """Return the head of each stream."""
 
     def after(self, stream: Stream, number: int, most_bytes: int) -> list[Event]:
-        """A stream's events behind a number, in order, up to so many bytes; at least one if there is one."""
+        """Return a stream's events after a number, in order, up to a size; at least one if there is any."""
 
     def ordered(self, channel: str, since: Place | None, until_us: int, limit: int) -> list[Event]:
-        """A channel's events in its order, behind a place, with `at` up to and including a time."""
+        """Return events of a channel in order, after a place, with `at` up to and including a time."""
 
     def skip(self, gap: Gap) -> None:
-        """Mark that a stream goes on behind a gap: its floor and number are raised to `gap.last`."""
+        """Record that a stream continues after a gap: its floor and number are raised to `gap.last`."""
 
     def gaps(self, channel: str) -> list[Gap]:
-        """The gaps of a channel, those that retention made among them, in the order of stream and number."""
+        """Return the gaps of a channel, including those made by retention, ordered by stream and number."""
 
     def prune(self, before_us: int, most_bytes: int, spare: Iterable[str]) -> int:
-        """Retention: drop events older than a time, then the oldest until the store takes so many bytes.
+        """Apply retention: drop events older than a time, then the oldest until the size is in the limit.
 
-        Channels in `spare` keep theirs. Whole beginnings of streams go, each marked as a gap. Returns how
-        many events went.
+        Channels in `spare` are not touched. Each stream loses events from its start only; the removed part is
+        recorded as a gap. Returns the number of removed events.
         """
 
     def drop(self, channel: str, stream: Stream | None = None) -> None:
-        """Forget a channel, or one stream of it, gaps included: it is kept elsewhere."""
+        """Drop a channel, or one stream of it, with its gaps; other sites keep it."""
 
     def mark(self, name: str) -> bytes | None:
-        """A small value kept under a name."""
+        """Return the small value stored under a name, or None."""
 
     def size_bytes(self) -> int:
-        """What the store takes on disk."""
+        """Return the size of the store on disk."""
 
 
 class Answered(Protocol):
-    """What a call to another site came to."""
+    """Receives the outcome of a call to another site."""
 
     def __call__(self, body: bytes | None, wait_us: int, why: str, /) -> None:
-        """The answer's bytes; or None, for how long that site wants no call (0: it did not say), and why."""
+        """Take the reply; or None, the site's retry-after wait (0: not given), and why the call failed."""
 
 
 class Links(Protocol):
-    """Calls to other sites, by their names. Each call ends exactly once, by its answer or by a failure.
+    """Calls other sites by name. Each call ends exactly once, with a reply or a failure.
 
-    A failed call may have been carried out there. Nothing repeats a call by itself.
+    A failed call may have been executed by the other site. Calls are not retried automatically.
     """
 
     def call(self, site: str, body: bytes, timeout_us: int, done: Answered) -> Callable[[], None]:
-        """Call a site; `done` hears within the time limit. The result gives the call up: `done` hears so."""
+        """Call a site; `done` is called within the time limit.
+
+        The returned function cancels the call; `done` is then called with a failure.
+        """
 
 
 class Time(Protocol):
-    """Time as the log needs it."""
+    """The clocks that the log needs."""
 
     def unix_us(self) -> int:
-        """Unix time in microseconds; it may step either way."""
+        """Return the Unix time in microseconds; it may jump either way."""
 
     def now_us(self) -> int:
-        """Microseconds on a clock that never goes back."""
+        """Return the time in microseconds on a clock that never goes back."""
--- a/tests/test_channels_log.py
+++ b/tests/test_channels_log.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from rowanrack.channels.bans import Detaches
-from rowanrack.channels.clock import Hybrid
+from rowanrack.channels.clock import HybridClock
 from rowanrack.channels.events import (
     ATTACHED,
     DETACHED,
@@ -51,7 +51,7 @@
     site: str, time: Hands, store: MemoryLog | None = None, life: str = "x", members: str = "abc"
 ) -> tuple[Log, list[str]]:
     said: list[str] = []
-    made = Log(store or MemoryLog(), time, site, members, said.append, draw=lambda: life)
+    made = Log(store or MemoryLog(), time, site, members, said.append, new_incarnation=lambda: life)
     made.open()
     return made, said
 
@@ -62,12 +62,12 @@
 
 def test_a_clock_set_back_puts_no_effect_before_its_cause() -> None:
     time = Hands()
-    clock = Hybrid(time)
+    clock = HybridClock(time)
     first = clock.stamp()
     time.off = -HOUR
     assert clock.stamp() > first
     ahead = Place(time.now + 59 * S, 3, "b", "x", 1)  # our own time, as it went on from before
-    assert clock.merged(ahead)
+    assert clock.observe(ahead)
     assert clock.stamp() == (ahead.at, 4)
 
 
@@ -77,7 +77,8 @@
     far = [note(other) for _ in range(3)]
     assert here.merge(far) == far
     assert said == [
-        "the clock of b is 10800 s ahead of ours: its events are kept, our clock does not follow it"
+        "the clock of b is 10800 s ahead of the local clock: its events are kept, "
+        "but the local clock does not follow them"
     ]
     assert note(here).at <= time.now + S
     named = note(here, seen=[far[1].place])
@@ -175,7 +176,10 @@
 def test_a_process_whose_branch_gave_way_goes_on_under_a_new_incarnation() -> None:
     time = Hands()
     lives = iter("xyz")
-    logs = [Log(MemoryLog(), time, "b", "b", lambda line: None, draw=lambda: next(lives)) for _ in range(2)]
+    logs = [
+        Log(MemoryLog(), time, "b", "b", lambda line: None, new_incarnation=lambda: next(lives))
+        for _ in range(2)
+    ]
     for each in logs:
         each.open()
         each.life = "x"
@@ -192,8 +196,8 @@
         here, _ = log("a", time := Hands(), members="ab")
         here.merge(runs[0])
         here.fork(runs[-1])
-        here.heard("b", [Promise("b", "x", time.now, b"")])
-        here.heard("b", [Promise("b", "x", time.now + 1, here.lives())])
+        here.receive_promises("b", [Promise("b", "x", time.now, b"")])
+        here.receive_promises("b", [Promise("b", "x", time.now + 1, here.incarnations_digest())])
         assert (here.settled_until(FLEET)[0] > 0) == (here.rewritten == 0)
 
 
--- a/tests/test_channels_settled.py
+++ b/tests/test_channels_settled.py
@@ -12,9 +12,17 @@
 import pytest
 
 from rowanrack.channels.events import FLEET, LAYOUT, Event, packed
-from rowanrack.channels.log import AHEAD_US, LATELY, LATELY_US, Log, Noted, Promise, _short
+from rowanrack.channels.log import (
+    MAX_RELAYED_LEAD_US,
+    RECENT_STREAMS_COUNT,
+    RECENT_WRITES_US,
+    Log,
+    Noted,
+    Promise,
+    _site_tag,
+)
 from rowanrack.channels.site import Site
-from rowanrack.channels.sync import Request, answer, offer, take
+from rowanrack.channels.sync import Request, answer_request, begin_exchange, process_reply
 from rowanrack.store.log_memory import MemoryLog
 from tests.test_channels_log import HOUR, Hands, S, log, note
 from tests.test_channels_sync import Own, meet, three
@@ -38,7 +46,7 @@
         stores[name] = MemoryLog()
     others = [other for other in NAMES if other != name]
     made = sites[name] = Site(stores[name], time, name, others, lambda line: None, 99 * HOUR, 1 << 30)
-    made.log._draw = lambda: name + life
+    made.log._new_incarnation = lambda: name + life
     made.open()
 
 
@@ -80,18 +88,18 @@
         if step == "write":
             note(b, "7")
         elif step == "many":
-            for n in range(LATELY + 1):
+            for n in range(RECENT_STREAMS_COUNT + 1):
                 note(b, str(n))
         elif step == "push":  # of all but the first, which is not named
-            a.merge([e for n in range(1, LATELY + 1) for e in b.read(str(n), None, END, 9)])
+            a.merge([e for n in range(1, RECENT_STREAMS_COUNT + 1) for e in b.read(str(n), None, END, 9)])
         elif step == "meet":
             meet(b, a, scope=scope)
         elif step == "anew":
-            c._tell(Promise("c", "old", 0, b""), anew=True)
+            c._store_promise(Promise("c", "old", 0, b""), only_if_unknown=True)
             for one, two in ((b, c), (a, c)):
                 meet(one, two, scope=scope)
         elif step == "unknown":
-            a._tell(Promise("c", "old", 0, b""), anew=True)
+            a._store_promise(Promise("c", "old", 0, b""), only_if_unknown=True)
         elif step == "ahead":
             b._clock._promised = time.now + HOUR
         elif step == "grown":
@@ -99,17 +107,17 @@
         elif step == "keeps":
             scope.ever, scope.turn = frozenset("ab"), 2
         elif step == "old":
-            time.now += 2 * LATELY_US
+            time.now += 2 * RECENT_WRITES_US
         elif step == "laid":
-            b._fleet = b"other"
-            a._counted.clear()
+            b._fleet_digest_cache = b"other"
+            a._counted_promises.clear()
         elif step == "opened":
-            a.session, a._fleet = "anew", b""
-            a._counted.clear()
+            a.session, a._fleet_digest_cache = "anew", b""
+            a._counted_promises.clear()
         elif step == "doubled":
-            a._doubled.add(("b", "b"))
+            a._duplicated.add(("b", "b"))
         elif step == "forgot":
-            a._counted.clear()
+            a._counted_promises.clear()
         elif step == "drop":
             a.drop("7")
     time.now += S
@@ -117,7 +125,7 @@
     meet(b, c, scope=scope)
     meet(a, c, scope=scope)
     assert a.promises()["b"].at >= before, "on FLEET it counts"
-    counted = a.counting().get("b")
+    counted = a.counted_promises().get("b")
     assert (counted is not None and counted.promise.at >= before) is counts
     assert (a.settled_until("7")[0] >= before) is counts
 
@@ -159,7 +167,7 @@
             lost = True
             said = {key: value for key, value in said.items() if key[0] != site.name}
         for each in sites.values():
-            each._pass()
+            each._update_layouts()
             for channel in "123":
                 key = each.name, channel
                 if not each.layouts.whole(*key):
@@ -194,8 +202,8 @@
     """Whom a log says that it owes events of more than a while ago."""
     one.scope = scope
     word = one.promise()
-    assert word.fleet
-    return "".join(name for name in "abc" if _short(name) in word.owes)
+    assert word.fleet_digest
+    return "".join(name for name in "abc" if _site_tag(name) in word.owed_tags)
 
 
 AC, C, X, XY = frozenset("ac"), frozenset("c"), ("", "x"), ("", "x", "y")
@@ -225,7 +233,7 @@
         if "note" in change:
             note(b, change["note"])
         owed(b, scope)
-    time.now += 2 * LATELY_US + AHEAD_US
+    time.now += 2 * RECENT_WRITES_US + MAX_RELAYED_LEAD_US
     assert owed(b, scope) == owes
 
 
@@ -234,18 +242,18 @@
     old = note(b, "7")
     c.merge([old])
     again, scope = log("b", time, life="new")[0], Laid()
-    time.now += 2 * LATELY_US
+    time.now += 2 * RECENT_WRITES_US
     meet(again, a, scope=scope)
-    assert owed(again, scope) == "" and again.promise().since < old.at
+    assert owed(again, scope) == "" and again.promise().writes_since < old.at
     again.merge([old])
-    assert owed(again, scope) == "a" and again.promise().since == old.at, "it is not named"
+    assert owed(again, scope) == "a" and again.promise().writes_since == old.at, "it is not named"
 
 
 def to_the_end(one: Log, two: Log, scope: Any) -> bytes:
     """The last request of an exchange that `one` begins."""
-    request = offer(one, two.site, scope)
-    while not msgspec.msgpack.decode(request, type=Request).over:
-        request = take(one, answer(two, request, scope), scope) or b""
+    request = begin_exchange(one, two.site, scope)
+    while not msgspec.msgpack.decode(request, type=Request).finished:
+        request = process_reply(one, answer_request(two, request, scope), scope) or b""
     return request
 
 
@@ -258,20 +266,20 @@
     request = to_the_end(a, b, scope)
     store.close()
     again = log("b", time, store)[0]
-    answer(again, request, scope)
-    assert again.pair("a").paid == 0, "these were rounds of writes of before"
+    answer_request(again, request, scope)
+    assert again.peer_state("a").acked_write_round == 0, "these were rounds of writes of before"
 
 
 def test_an_exchange_says_nothing_of_a_log_that_was_opened_anew_meanwhile() -> None:
     a, b, c = three(time := Hands())
     scope = Laid()
     note(b, "7")
-    last = answer(a, to_the_end(b, a, scope), scope)
+    last = answer_request(a, to_the_end(b, a, scope), scope)
     again = log("a", time, life="a")[0]  # a power cut took it
     meet(c, again, scope=scope)
     meet(b, c, scope=scope)
-    assert take(b, last, scope) is None
-    time.now += 2 * LATELY_US
+    assert process_reply(b, last, scope) is None
+    time.now += 2 * RECENT_WRITES_US
     assert owed(b, scope) == "a"
 
 
@@ -310,7 +318,7 @@
     for one, two in ((b, a), (c, a), (b, c)):
         meet(one, two, scope=scope)
         meet(two, one, scope=scope)
-    time.now += 2 * LATELY_US  # the event is not named any more
+    time.now += 2 * RECENT_WRITES_US  # the event is not named any more
     again = log("a", time, life="a")[0]  # a power cut took what it had kept last
     for one, two in ((c, again), (b, c), (c, again)) * 2:
         meet(one, two, scope=scope)
--- a/tests/test_channels_sync.py
+++ b/tests/test_channels_sync.py
@@ -14,20 +14,20 @@
 
 from benchmarks.channels import spread
 from rowanrack.channels import digests, sync
-from rowanrack.channels.digests import Heads
+from rowanrack.channels.digests import HeadIndex
 from rowanrack.channels.events import FLEET, KEPT, START, Event, Gap, Head, Stream, packed
 from rowanrack.channels.layout import Layout, Layouts
-from rowanrack.channels.log import LATE_MOST, Log, Noted
+from rowanrack.channels.log import RECENT_EVENTS_COUNT, Log, Noted
 from rowanrack.channels.sync import (
-    MOST_BODY_BYTES,
+    MAX_BODY_BYTES,
+    ExchangeNeeds,
     Meetings,
-    Needs,
     Reply,
     Request,
     SyncError,
-    answer,
-    offer,
-    take,
+    answer_request,
+    begin_exchange,
+    process_reply,
 )
 from rowanrack.store.log_memory import MemoryLog
 from tests.test_channels_log import HOUR, Hands, S, branches, log, note
@@ -56,13 +56,13 @@
 
 def meet(one: Log, two: Log, bodies: int = 400, scope: digests.Scope = ALL) -> int:
     """An exchange that `one` begins; the number of requests. Cut off after so many bodies."""
-    request: bytes | None = offer(one, two.site, scope)
+    request: bytes | None = begin_exchange(one, two.site, scope)
     for count in range(bodies):
         if request is None:
             return count
-        reply = answer(two, request, scope)
-        assert max(len(request), len(reply)) <= MOST_BODY_BYTES
-        request = take(one, reply, scope)
+        reply = answer_request(two, request, scope)
+        assert max(len(request), len(reply)) <= MAX_BODY_BYTES
+        request = process_reply(one, reply, scope)
     assert bodies < 400, "the exchange has no end"
     return bodies
 
@@ -122,7 +122,7 @@
     c.merge(event for channel in (FLEET, *"012345678") for event in a.read(channel, None, END, 1 << 20))
     assert meet(c, a) == 1 and same(a, b, c)
     note(a, "5")
-    page = answer(a, offer(b, "a", ALL), ALL)
+    page = answer_request(a, begin_exchange(b, "a", ALL), ALL)
     assert len(msgspec.msgpack.decode(page, type=Reply).groups) == 1
 
 
@@ -135,12 +135,15 @@
         for writer in writers:
             note(writer, "7")
         assert meet(a, b) == bodies and same(a, b)
-        assert b.pair("a").paid == b.owing() and a.pair("b").paid == a.owing()
+        assert (
+            b.peer_state("a").acked_write_round == b.assign_write_round()
+            and a.peer_state("b").acked_write_round == a.assign_write_round()
+        )
     meet(c, a)
     note(c, "7")
     meet(c, a)
     assert meet(a, b) > 2 and same(a, b), "of a third one"
-    a.write([Noted("7", "k", b"\x80", 1)] * LATE_MOST * 2)
+    a.write([Noted("7", "k", b"\x80", 1)] * RECENT_EVENTS_COUNT * 2)
     assert meet(a, b) > 1 and same(a, b), "more than is in memory"
     anew = log("b", Hands(), life="b2")[0]
     note(a, "7")
@@ -185,7 +188,7 @@
     lives = iter("xxpqrs")
     times = {life: Hands() for life in ("one", "two", "c")}
     one, two, c = (
-        Log(MemoryLog(), time, site, "bc", lambda line: None, draw=lambda: next(lives))
+        Log(MemoryLog(), time, site, "bc", lambda line: None, new_incarnation=lambda: next(lives))
         for site, time in zip("bbc", times.values(), strict=True)
     )
     for each in (one, two, c):
@@ -235,13 +238,13 @@
     a, b, _ = three()
     true = [note(a, n=n, x="y") for n in range(3)] + [note(a, "7")]
     note(b, n=9)
-    request: bytes | None = offer(b, "a", ALL)
+    request: bytes | None = begin_exchange(b, "a", ALL)
     for _ in range(200):
         if request is None:
             break
-        reply = msgspec.msgpack.decode(answer(a, request, ALL), type=Reply)
+        reply = msgspec.msgpack.decode(answer_request(a, request, ALL), type=Reply)
         lie(reply)
-        request = take(b, msgspec.msgpack.encode(reply), ALL)
+        request = process_reply(b, msgspec.msgpack.encode(reply), ALL)
     assert request is None, "it goes on for ever"
     kept = [e for c in (FLEET, "7", "66") for e in b.read(c, None, END, 99) if e.site != "b"]
     assert all(event in true for event in kept) and not b.gaps("66")
@@ -254,14 +257,14 @@
     for _ in range(2):
         meet(a, c)
     event = note(c)
-    reply = msgspec.msgpack.decode(answer(c, offer(a, "c", ALL), ALL), type=Reply)
-    request = take(a, msgspec.msgpack.encode(reply), ALL)
+    reply = msgspec.msgpack.decode(answer_request(c, begin_exchange(a, "c", ALL), ALL), type=Reply)
+    request = process_reply(a, msgspec.msgpack.encode(reply), ALL)
     assert request is not None and a.settled_until(FLEET)[0] < event.at, "only its head is here"
     reply.groups, reply.promises = [], []
-    assert take(a, msgspec.msgpack.encode(reply), ALL) is None
+    assert process_reply(a, msgspec.msgpack.encode(reply), ALL) is None
     assert a.settled_until(FLEET)[0] < event.at, "it did not give what it said to have"
-    assert sync.refused(a, "c") == ["fleet c/c"]
-    answer(a, offer(c, "a", ALL), ALL)
+    assert sync.failed_streams_of(a, "c") == ["fleet c/c"]
+    answer_request(a, begin_exchange(c, "a", ALL), ALL)
     assert a.settled_until(FLEET)[0] < event.at, "nor is it here by its asking"
     meet(a, c)
     assert a.settled_until(FLEET)[0] >= event.at
@@ -283,22 +286,29 @@
     assert set(b.promises()) == {*names}
     for one, two in ((a, b), (b, a)):
         meet(one, two)
-        first = msgspec.msgpack.decode(offer(one, two.site, ALL), type=Request)
+        first = msgspec.msgpack.decode(begin_exchange(one, two.site, ALL), type=Request)
         assert [p.site for p in first.promises] == [one.site]
         assert (
-            len(msgspec.msgpack.decode(answer(two, offer(one, two.site, ALL), ALL), type=Reply).promises) == 1
+            len(
+                msgspec.msgpack.decode(
+                    answer_request(two, begin_exchange(one, two.site, ALL), ALL), type=Reply
+                ).promises
+            )
+            == 1
         )
     b.store.close()
     again = Log(b.store, b._time, b.site, names, lambda line: None)
     again.open()
     meet(a, again)  # by which a hears what it lacks
     meet(a, again)
-    assert again._told.keys() == a._told.keys()
+    assert again._promises.keys() == a._promises.keys()
     assert {p.site for p in again.promises().values() if p.at} == {*names}
     meet(others[0], again)
     meet(a, others[0])
     meet(a, again)
-    assert len(a.told(a.pair("s01").known, "s01")[0]) == 1, "what one heard from another is no news to it"
+    assert len(a.promises_to_send(a.peer_state("s01").acked_change, "s01")[0]) == 1, (
+        "what one heard from another is no news to it"
+    )
 
 
 def test_a_new_incarnation_promises_nothing_for_what_the_lost_one_wrote() -> None:
@@ -332,9 +342,12 @@
 @pytest.mark.parametrize("body", [b"", b"\x90", b"\x92\x02\xa1b", b"\xc1" * 9, b"\x91" * 5000])
 def test_a_body_that_is_none_is_named(body: bytes) -> None:
     a = three()[0]
-    offer(a, "b", ALL)
-    large = [Event(FLEET, "b", "b", 1, 1, 0, "k", bytes(MOST_BODY_BYTES))]
-    for read, kind in ((answer, Request(1, "b", events=large)), (take, Reply(1, "b", events=large))):
+    begin_exchange(a, "b", ALL)
+    large = [Event(FLEET, "b", "b", 1, 1, 0, "k", bytes(MAX_BODY_BYTES))]
+    for read, kind in (
+        (answer_request, Request(1, "b", events=large)),
+        (process_reply, Reply(1, "b", events=large)),
+    ):
         with pytest.raises(SyncError, match="a body"):
             read(a, body, ALL)
         with pytest.raises(SyncError, match=r"a body of \d+ bytes"):
@@ -343,7 +356,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_digests_that_follow_each_change_are_those_of_a_walk_over_all(seed: int) -> None:
-    chance, here = random.Random(seed), Heads("a")
+    chance, here = random.Random(seed), HeadIndex("a")
     layouts, told, plain = Layouts("abcde"), 0, log("a", Hands())[0]
     streams = [Stream(c, s, i) for c in (FLEET, *map(str, range(30))) for s in "abcde" for i in "xy"]
     for _ in range(60):
@@ -365,10 +378,10 @@
         for peer in "bcde":
             walked: dict[int, int] = {}
             for stream, head in here.items():
-                if sync._shared(plain, peer, layouts, stream):
+                if sync._held_by_both(plain, peer, layouts, stream):
                     group = digests.group_of(stream.channel)
                     walked[group] = walked.get(group, 0) ^ digests._digest(head)
-            assert here.shared(peer) == {group: part for group, part in walked.items() if part}
+            assert here.shared_digests(peer) == {group: part for group, part in walked.items() if part}
         assert {stream for group in range(64) for stream in here.group(group)} == set(here)
 
 
@@ -399,9 +412,9 @@
     assert len(b.read(FLEET, None, END, 9)) == 2
     note(c, "7")
     reply = msgspec.msgpack.encode(Request(sync.VERSION, "c", events=c.read("7", None, END, 9)))
-    answer(a, reply, Own())
+    answer_request(a, reply, Own())
     assert len(a.read("7", None, END, 9)) == 3, "a keeper takes it"
-    answer(b, reply, Own())
+    answer_request(b, reply, Own())
     assert len(b.read("7", None, END, 9)) == 1
 
 
@@ -432,18 +445,18 @@
 
 def test_news_and_what_is_owed_come_soon_and_who_fails_is_left_alone_all_the_same() -> None:
     near = Meetings("a", sites := [f"s{n}" for n in range(40)], 1)
-    far = next(site for site in sites if site not in near._near)
-    first, failing = near._near[:2]
-    for site in near._near:
+    far = next(site for site in sites if site not in near._neighbours)
+    first, failing = near._neighbours[:2]
+    for site in near._neighbours:
         near.ended(site, 0)
     near.failed(failing, 0)
-    near.needs(0, Needs([first, failing, far], [far], []))
+    near.needs(0, ExchangeNeeds([first, failing, far], [far], []))
     assert 0 < (near.next_at() or 0) < S // 3
     assert near.due(S) == [first] and far in near.due(3 * S)
-    near.needs(S, Needs([first], [], []))
+    near.needs(S, ExchangeNeeds([first], [], []))
     assert near.due(S) == [first] and far not in near.due(3 * S), "it has it meanwhile, by its own asking"
-    near.needs(S, Needs(ask=sites))
-    times = sorted(at for (why, _), at in near._wants.items() if why == "ask")
+    near.needs(S, ExchangeNeeds(ask=sites))
+    times = sorted(at for (why, _), at in near._planned.items() if why == "ask")
     assert len(times) == 40 and 6 * S < times[-1] < 20 * S, "one after the other"
     assert failing not in near.due(S)
 
@@ -475,7 +488,12 @@
 
     def opened(site: str) -> Log:
         made = Log(
-            stores[site], times[site], site, SITES, lambda line: None, draw=lambda: f"{next(lives):03}"
+            stores[site],
+            times[site],
+            site,
+            SITES,
+            lambda line: None,
+            new_incarnation=lambda: f"{next(lives):03}",
         )
         made.open()
         return made
@@ -565,7 +583,7 @@
 
     def opened(site: str, store: MemoryLog) -> Log:
         store.close()
-        made = Log(store, time, site, "abcd", lambda line: None, draw=lambda: f"{next(lives):03}")
+        made = Log(store, time, site, "abcd", lambda line: None, new_incarnation=lambda: f"{next(lives):03}")
         made.open()
         return made
 
