--- a/rowanrack/channels/clock.py
+++ b/rowanrack/channels/clock.py
@@ -21,13 +21,13 @@
         self._at, self._tick = floor_us, 0
         self._promised = floor_us
         self._last_ahead = floor_us, 0  # the last stamp that was ahead of the local time when it was observed
-        self._wall, self._wall_now = time.unix_us(), time.now_us()
+        self._wall, self._wall_read_at = time.unix_us(), time.now_us()
 
     def wall(self) -> int:
         """Return a Unix time that never goes back: after a step back, it follows the steady clock."""
         now = self._time.now_us()
-        self._wall = max(self._time.unix_us(), self._wall + now - self._wall_now)
-        self._wall_now = now
+        self._wall = max(self._time.unix_us(), self._wall + now - self._wall_read_at)
+        self._wall_read_at = now
         return self._wall
 
     def read(self) -> tuple[int, int]:
--- a/rowanrack/channels/log.py
+++ b/rowanrack/channels/log.py
@@ -400,10 +400,10 @@
             "its events are kept, but the local clock does not follow them",
         )
 
-    def _report_rarely(self, sort: str, site: str, line: str) -> None:
+    def _report_rarely(self, category: str, site: str, line: str) -> None:
         now = self._time.now_us()
-        if now >= self._next_report_us.get((sort, site), now):
-            self._next_report_us[(sort, site)] = now + LOG_REPEAT_US
+        if now >= self._next_report_us.get((category, site), now):
+            self._next_report_us[(category, site)] = now + LOG_REPEAT_US
             self._report(line)
 
     def skip(self, gap: Gap) -> None:
@@ -576,11 +576,11 @@
         self._ensure_sole_writer()
         at = self._clock.promise(self.waits_since())
         if at > self._stored_promise:
-            marks, ahead = self._promise_mark(at)
+            marks, stored_promise = self._promise_mark(at)
             self.store.append([], marks)
-            self._stored_promise = ahead
+            self._stored_promise = stored_promise
         recent_writes = self._recent_writes(at)
-        owed = self._owed(at)
+        digest_and_tags = self._fleet_digest_and_owed_tags(at)
         promise = Promise(
             self.site,
             self.life,
@@ -589,7 +589,7 @@
             self._writes_since,
             recent_writes,
             self.session,
-            *owed,
+            *digest_and_tags,
         )
         self._last_promise_us = at
         if (self.site, self.life) in self._promises:
@@ -632,7 +632,7 @@
         self._recent_writes_cache = self._heads.own_changes, at + RECENT_WRITES_US // 10, recent_writes
         return recent_writes
 
-    def _owed(self, at: int) -> tuple[bytes, bytes]:
+    def _fleet_digest_and_owed_tags(self, at: int) -> tuple[bytes, bytes]:
         """Return the fleet digest and the tags of the sites that may lack local events up to `_writes_since`.
 
         Both are empty if that is not known or too many sites are owed events.
@@ -891,7 +891,7 @@
                     or counted.holdings_version != self._holdings_version()
                     or counted.promise.at < promise.at
                 ):
-                    self._count(key, promise)
+                    self._count_promise(key, promise)
             elif scopes_agree and (
                 key not in self._pending_promises or self._pending_promises[key].at < promise.at
             ):
@@ -900,7 +900,7 @@
     def _holdings_version(self) -> int:
         return self.scope.grown if self.scope is not None else 0
 
-    def _count(self, key: tuple[str, str], promise: Promise) -> None:
+    def _count_promise(self, key: tuple[str, str], promise: Promise) -> None:
         self._counted_promises[key] = CountedPromise(promise, self._holdings_version(), self._time.now_us())
 
     def _count_pending(self) -> None:
@@ -926,7 +926,7 @@
                     self._has_events(channel, key, number, held) for channel, number in promise.recent_writes
                 )
             ):
-                self._count(key, promise)
+                self._count_promise(key, promise)
                 del self._pending_promises[key]
 
     def _has_events(self, channel: str, key: tuple[str, str], number: int, held: dict[str, bool]) -> bool:
@@ -1026,9 +1026,11 @@
         found = self._promises_from_exchanges()
         if not any(map(self._holds_channel, self._dropped)):
             co_keepers = self._co_keepers()
-            for site, each in self._promises_by_claim().items():
-                if site not in co_keepers and (site not in found or found[site].promise.at < each.promise.at):
-                    found[site] = each
+            for site, claimed in self._promises_by_claim().items():
+                if site not in co_keepers and (
+                    site not in found or found[site].promise.at < claimed.promise.at
+                ):
+                    found[site] = claimed
         return found
 
     def _promises_from_exchanges(self) -> dict[str, CountedPromise]:
@@ -1056,15 +1058,15 @@
         best = dict.fromkeys(self.members, 0)
         best[self.site] = own_promise.at
         if channel == FLEET:
-            for (site, life), each in self._promises.items():
+            for (site, life), promise in self._promises.items():
                 if (
                     site != self.site
-                    and each.incarnations_digest == own_promise.incarnations_digest
+                    and promise.incarnations_digest == own_promise.incarnations_digest
                     and (site, life) not in self._duplicated
                 ):
-                    best[site] = max(best.get(site, 0), each.at)
+                    best[site] = max(best.get(site, 0), promise.at)
         else:
-            best |= {site: each.promise.at for site, each in self._promises_from_exchanges().items()}
+            best |= {site: counted.promise.at for site, counted in self._promises_from_exchanges().items()}
             if channel not in self._dropped and (claims := self._promises_by_claim()):
                 keepers, now = self._keepers_in_any_layout(channel), self._time.unix_us()
                 for site in claims.keys() - keepers:
