--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -29,7 +29,7 @@
 from rowanspindle.list_watch import ListWatch
 from rowanspindle.wire import parse_settings
 from tests import rig as rig_module
-from tests.rig import SETTINGS, Rig, discovery_entry, on_loop
+from tests.rig import SETTINGS, Rig, discovery_entry, make_endpoint, on_loop
 from tests.rig import silent as silent_endpoint
 from tests.test_core import SECOND_US, Desk
 
@@ -457,7 +457,7 @@
     fake = make_discovery(break_after_change, change_at_s=99)
 
     def restart_versions() -> None:
-        fake.seq, fake.hosts = 2, {"i1": (1, entry("i1", 1))}
+        fake.seq, fake.hosts = 2, {"i1": (1, discovery_entry("i1", 1))}
 
     fake.at(3.0, restart_versions)
     await fake.run(17)
