--- a/rowanrack/__init__.py
+++ b/rowanrack/__init__.py
@@ -1,3 +1,3 @@
-"""rowanrack: a sender that delivers messages to partners' instances over real sockets."""
+"""rowanrack: a sender that delivers messages to endpoints of its partners over the network."""
 
 __version__ = "0.1.0"
--- a/rowanrack/__main__.py
+++ b/rowanrack/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m rowanrack` is the command line."""
+"""Runs the command line for `python -m rowanrack`."""
 
 import signal
 import sys
 
 if sys.argv[1:2] == ["serve"]:
-    # Guards a sender that still imports its parts against SIGHUP, which by itself ends a process. What it
-    # asks for is done all the same: the configuration is read later.
+    # SIGHUP by default ends a process, also one that is still importing its modules. Ignoring it until then
+    # loses nothing, since the configuration is read afterwards.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from rowanrack.cli import main
--- a/rowanrack/app.py
+++ b/rowanrack/app.py
@@ -1,4 +1,4 @@
-"""The assembly: one sender, from its configuration to its last answer."""
+"""Assembles one sender from its configuration, and runs it from start to shutdown."""
 
 from __future__ import annotations
 
@@ -49,30 +49,33 @@
 
 log = logging.getLogger(__name__)
 
-PLATFORM_KEEP_US = 1_000_000  # its clients hand nothing in under an old id once the message's time is up
+PLATFORM_KEEP_US = 1_000_000  # platform clients do not resubmit an id after the message's deadline
 FILES = 40  # descriptors for the journal, the ports, discovery, the console, and connections being closed
-SHARED_LOOK_US = 100_000  # between looks at whether the other process of a hot restart has let go
-DIED_LOOK_US = 1_000_000  # and, once it has, at whether one that came later has died
-FOLDER_LOOK_US = 200_000  # between looks at the bans that the other process may have changed, and at outages
+# interval at which a shared journal is checked until the previous process of a hot restart releases it
+SHARED_LOOK_US = 100_000
+# interval at which the journal of a later process is checked, in case that process has died
+DIED_LOOK_US = 1_000_000
+# interval at which the ban file is checked for changes by the other process, and outages are saved
+FOLDER_LOOK_US = 200_000
 
 
 @dataclass(frozen=True, slots=True)
 class Descriptors:
-    """How the limit on descriptors is divided."""
+    """The division of the descriptor limit."""
 
-    idle: int  # connections to instances that stand idle
+    idle: int  # idle connections to endpoints
     clients: int
 
     @classmethod
     def of(cls, sockets: int, slots: int) -> Descriptors:
-        """A third is what clients hold for requests at most; silent and idle ones stand beside those."""
+        """Divide the limit: at most a third for clients' requests, beside silent and idle clients."""
         spare = sockets - FILES - slots - sockets // 3
         idle = max(8, min(3 * slots, spare // 2))
         return cls(idle, sockets - FILES - slots - idle)
 
 
 class Sender:
-    """One running sender and its parts."""
+    """A running sender and its parts."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -101,24 +104,26 @@
         self.recorder: Recorder | None = None
         self.bans = BanFile(config.state)
         self.outages = OutageFile(config.state)
-        self.unkept: dict[str, bool] = {}  # changes that hold and are not on disk: True for a ban
+        # ban changes in force but not on disk yet: True for a ban, False for a lifted one
+        self.unkept: dict[str, bool] = {}
         self.mgmt: ManagementServer | None = None
         self.peers: PeerPort | None = None
         self.channels: ChannelPart | None = None
         self.lame = False
-        self.told = asyncio.Event()  # SIGTERM or SIGINT has come
+        self.told = asyncio.Event()  # set on SIGTERM or SIGINT
         self._started = False
-        self._load_asked: Callable[[], Config] | None = None  # by SIGHUP, ahead of the end of the start
+        # a reload that SIGHUP requested before the start was complete
+        self._load_asked: Callable[[], Config] | None = None
         self.shutdown = Shutdown(self, self.clock.now_us)
 
-    # What the operators' calls reach.
+    # Interface for the management server.
 
     def ready(self) -> bool:
-        """Whether this process serves: started, not in lame duck, not leaving, and able to record."""
+        """Return whether this process serves: started, not in lame duck, not stopping, and able to record."""
         return not self.unready()
 
     def unready(self) -> str:
-        """Why this process does not serve, in one line; empty while it does."""
+        """Return in one line why this process does not serve, or an empty string if it does."""
         if self.shutdown.told:
             return "leaving"
         if self.shutdown.phase is not Phase.SERVING:
@@ -128,7 +133,7 @@
         return "" if self.journal.recording() else f"the journal records nothing new: {self.journal.trouble}"
 
     def figures(self) -> str:
-        """The figures in the exposition format."""
+        """Return the metrics in the text exposition format."""
         exchange = self.exchange
         classes = list(exchange.settings.classes)
         return exchange.figures.exposition(
@@ -136,17 +141,18 @@
         )
 
     def detach(self, name: str) -> bool:
-        """Send nothing new to an endpoint, also after a restart; False if nobody knows it."""
+        """Send nothing new to an endpoint, also after a restart; return False if it is unknown."""
         return self._changed_ban(name, True)
 
     def attach(self, name: str) -> bool:
-        """Use an endpoint again, as a cold one; False if it was not detached."""
+        """Use an endpoint again, starting cold; return False if it was not detached."""
         return self._changed_ban(name, False)
 
     def _changed_ban(self, name: str, banned: bool) -> bool:
-        """Change a ban on the bans as they stand, and write them for a restart and the other process.
+        """Change a ban, and write the bans for the next restart and the other process.
 
-        Raises NotKeptError if they cannot be written: the change holds, and is written once there is room.
+        The bans on disk are read first. Raises NotKeptError if they cannot be written: the change is in force
+        all the same, and is written once there is room.
         """
         self._take_bans()
         if not (self.exchange.detach if banned else self.exchange.attach)(name):
@@ -161,7 +167,7 @@
         return True
 
     def _keep_bans(self) -> str:
-        """Write the bans; why that failed, or nothing."""
+        """Write the bans; return the reason if that failed, or an empty string."""
         try:
             self.bans.write(self.exchange.bans)
         except OSError as error:
@@ -170,7 +176,7 @@
         return ""
 
     def _fleet_bans(self, named: set[str], detached: set[str]) -> None:
-        """Take over what the fleet's operators have detached and attached: all endpoints that they named."""
+        """Apply the detachments and attachments of the whole fleet to all endpoints that it names."""
         for name in sorted(named):
             if (banned := name in detached) is (name in self.exchange.bans):
                 continue
@@ -181,11 +187,11 @@
             log.error("channels: detached endpoints are not written yet: %s", why)
 
     def log_of_channels(self) -> ChannelPart | None:
-        """The channels' log; None without one."""
+        """Return the channel log, or None if it is not configured."""
         return self.channels
 
     def lameduck(self, on: bool) -> None:
-        """Begin or end a drain of the clients: the health answer turns, connections end between requests."""
+        """Begin or end lame duck: the health check fails, and connections close between requests."""
         if on != self.lame:
             log.info("mgmt: lame duck %s", "on" if on else "off")
         self.lame = on
@@ -193,7 +199,7 @@
             front.lameduck(on)
 
     def _take_bans(self) -> None:
-        """Take over the bans as the file has them, if the other process has changed them."""
+        """Apply the bans from the file if the other process has changed it."""
         if (bans := self.bans.changed()) is None:
             return
         for name, banned in self.unkept.items():
@@ -204,7 +210,7 @@
             self.exchange.ban(name)
 
     async def _watch_folder(self) -> None:
-        """Follow the bans of the other process, and keep what is known of outages."""
+        """Follow the other process's bans, and save the known outages."""
         while True:
             await pause(self.exchange.after, FOLDER_LOOK_US)
             self.outages.keep(self.exchange.outages(), self.clock.now_us())
@@ -213,9 +219,10 @@
                 log.info("mgmt: detached endpoints are written again")
 
     async def _take_over(self) -> None:
-        """Own what the process before this one left, once it lets go of its journal.
+        """Own the previous process's messages once it releases its journal.
 
-        Then what another process leaves that dies beside this one: nobody else would look before a restart.
+        Afterwards, also own those of any process that dies while running beside this one: nothing else would
+        find them before a restart.
         """
         while (taken := self.journal.absorb()) is None:
             await pause(self.exchange.after, SHARED_LOOK_US)
@@ -236,7 +243,7 @@
         self.exchange.pump()
 
     async def start(self) -> None:
-        """Replay the journal, own what is owed, and open the ports."""
+        """Replay the journal, own its outstanding messages, and open the ports."""
         self.journal.open()
         self._take_bans()
         if self.config.record is not None:
@@ -253,7 +260,8 @@
         if self.config.instances:
             self.exchange.list_instances(UpdateScope.FULL, self.config.instances, "file")
         if self.watch is not None and self.config.platform is not None and self.config.platform.pushed:
-            await self.watch.first()  # before anything is sent: it counts as told
+            # before anything is sent, because a pushed list counts as known from the start
+            await self.watch.first()
         self.exchange.recall(self.outages.read(self.clock.now_us(), self.config.settings.ramp_us))
         self.shutdown.owns()
         own(self.exchange, self.forms, owed)
@@ -288,7 +296,7 @@
 
     @property
     def _clients_most(self) -> int:
-        """Descriptors for the clients of one front."""
+        """Descriptors for the clients of one front end."""
         fronts = (self.config.platform is not None) + (self.config.otlp is not None)
         return max(16, self.room.clients // max(1, fronts))
 
@@ -312,13 +320,13 @@
         try:
             port.open()
         except OSError as error:
-            # What is owed to clients rests on no note: a sender without them serves as it did before.
+            # The guarantees to clients do not depend on gossip: without it the sender serves as before.
             log.warning("notes: none: cannot listen on %s:%d: %s", *peers.listen, error.strerror or error)
             return
         self.peers, exchange.tell = port, port.tell
 
     def _start_channels(self, channels: ChannelsConfig) -> None:
-        from rowanrack.channels_io.part import ChannelPart  # sqlite3, msgspec, blake3: only where it is used
+        from rowanrack.channels_io.part import ChannelPart  # loads sqlite3, msgspec and blake3 only if used
 
         config, bans = self.config, self._fleet_bans
         part = ChannelPart(channels, config.name, config.state, self.exchange, config.seed, bans)
@@ -326,13 +334,13 @@
         self.channels = part
 
     def _start_recorder(self, record: RecordConfig) -> None:
-        from rowanrack.record.recorder import recorder  # msgspec, blake3: only where they are used
+        from rowanrack.record.recorder import recorder  # loads msgspec and blake3 only if used
 
         self.recorder = recorder(self.config.name, self.exchange, record.folder, record.most_bytes)
         self.recorder.start()
 
     def _start_otlp(self, otlp: OtlpConfig) -> None:
-        # Imported only where it is set up: protobuf's classes take memory that the platform counts.
+        # Imported only if configured: the protobuf classes take memory, which the platform limits.
         from rowanrack.fronts.otlp.calls import OtlpForm
         from rowanrack.fronts.otlp.clients import OtlpClients
 
@@ -343,30 +351,33 @@
         self.forms[OTLP] = OtlpForm()
 
     def ask_to_load(self, load: Callable[[], Config]) -> None:
-        """SIGHUP has come: it is done at once, also while the sender ends, or once all parts are there."""
+        """Handle SIGHUP: reload now, also during shutdown, or once the start is complete."""
         if self._started:
             self.load_again(load)
         else:
             self._load_asked = load
 
     def load_again(self, load: Callable[[], Config]) -> None:
-        """Take the configuration over as it is by now, or leave the old one in force if it cannot be used."""
+        """Load the configuration and apply it; if it is invalid, the old one stays in force."""
         try:
             self.reload(load())
         except ConfigError as error:
             log.error("reload: the old configuration stays: %s", error)
         except Exception:
-            log.exception("reload: failed")  # a defect here must not end the sender
+            log.exception("reload: failed")  # a defect in the reload must not end the sender
 
     def reload(self, new: Config) -> None:
-        """Take over what a reload may change (see `needs_restart`); messages and calls go on unharmed."""
+        """Apply the parts of a configuration that can be reloaded (see `needs_restart`).
+
+        Messages and open calls are not affected.
+        """
         old = self.config
         for key in needs_restart(old, new):
             log.warning("reload: %s has changed, which needs a restart", key)
         if old.platform is not None and new.platform is not None:
             if old.platform.discovery != new.platform.discovery:
                 log.info("reload: discovery is now at %s:%d", *new.platform.discovery)
-                # Guards against a move by halves: the watch and the notices share the address.
+                # The watch and the notices use the same address, so both move.
                 for mover in (self.watch, self.notices):
                     if mover is not None:
                         mover.move(*new.platform.discovery)
@@ -381,12 +392,12 @@
         log.info("reload: the configuration is taken over")
 
     def tell_to_end(self) -> None:
-        """SIGTERM or SIGINT has come."""
+        """Handle SIGTERM or SIGINT."""
         self.shutdown.tell()
         self.told.set()
 
     async def run(self) -> None:
-        """Start, serve until told to end, and end."""
+        """Start, serve until SIGTERM or SIGINT, and shut down."""
         starting = asyncio.ensure_future(self.start())
         told = asyncio.ensure_future(self.told.wait())
         try:
@@ -405,7 +416,7 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """After SIGTERM: keep answering, settle what is out, and leave the rest to the journal."""
+        """Shut down: keep answering, settle open calls, and leave the rest to the journal."""
         log.info(
             "stopping: %d messages owed, %d calls out%s",
             len(self.exchange.messages),
@@ -425,12 +436,12 @@
             "told" if self._all_told() else "pending",
         )
 
-    # What the shutdown sequence reaches.
+    # Interface for the shutdown sequence.
 
     def takes_over(self) -> bool:
-        """Whether the next process of a hot restart goes on with all that is owed.
+        """Return whether the next process of a hot restart takes over all outstanding messages.
 
-        Not with OTLP: its clients wait on their connections for the end of what they handed in.
+        Not with OTLP: its clients wait on their connections for the final answer.
         """
         return self.config.otlp is None and self.journal.shared()
 
@@ -440,11 +451,11 @@
             front.drain()
 
     def freeze(self) -> None:
-        """Begin no call any more."""
+        """Begin no more calls."""
         self.exchange.freeze()
 
     def settled(self) -> bool:
-        """Whether nothing may still begin, nothing is out, all is told and all clients are gone."""
+        """Return whether no call can begin or is open, all notices are sent, and all clients have left."""
         owed = not self.exchange.frozen and bool(self.exchange.messages)
         clients = any(not front.gone for front, _ in self.fronts)
         return not (owed or self.pool.tasks or clients) and self._all_told()
@@ -453,7 +464,7 @@
         return self.notices is None or not self.notices.pending
 
     def close(self) -> None:
-        """Let go of everything."""
+        """Stop all tasks, and close all connections and files."""
         self.clock.stop()
         for task in getattr(self, "_tasks", ()):
             task.cancel()
@@ -477,10 +488,11 @@
 
 
 async def serve(load: Callable[[], Config]) -> None:
-    """Run a sender until SIGTERM or SIGINT; SIGHUP loads the configuration again, whole or not at all."""
+    """Run a sender until SIGTERM or SIGINT; SIGHUP reloads the configuration, completely or not at all."""
     sender: Sender
     loop = asyncio.get_running_loop()
-    # Before the configuration is read: a signal that comes meanwhile waits for the loop's first turn.
+    # Installed before the configuration is read: the handler of an early signal runs in the loop's first
+    # iteration.
     loop.add_signal_handler(signal.SIGHUP, lambda: sender.ask_to_load(load))
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, lambda: sender.tell_to_end())
--- a/rowanrack/cli.py
+++ b/rowanrack/cli.py
@@ -21,7 +21,7 @@
 from rowanrack.net.fair_scheduling import FairLoop
 from rowanrack.store.journal import Journal, JournalError
 
-# Groups that live with their package, and are imported only when they are asked for: a sender needs none.
+# Command groups of other packages, imported only when they are used: a sender needs none of them.
 GROUPS = {
     "model": ("rowanrack.model.cli", "model", "Try the senders on a model of the fleet, in virtual time."),
     "record": ("rowanrack.record.cli", "record", "Look at recordings of what a sender was asked and did."),
@@ -29,14 +29,14 @@
 
 
 class Lazy(click.Group):
-    """Commands of this file, and the groups above."""
+    """A command group that imports the groups in GROUPS on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Their names."""
+        """Return the names of all commands."""
         return sorted({*super().list_commands(ctx), *GROUPS})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of a name. Ends with one line where a group's libraries are missing."""
+        """Return a command by name; exit with one line if a group's libraries are not installed."""
         if cmd_name not in GROUPS:
             return super().get_command(ctx, cmd_name)
         module, attribute, _ = GROUPS[cmd_name]
@@ -50,7 +50,7 @@
         return found
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """The help, for which no group is imported."""
+        """Write the list of commands without importing any group."""
         rows = [(name, command.get_short_help_str(90)) for name, command in self.commands.items()]
         rows += [(name, text) for name, (_, _, text) in GROUPS.items()]
         with formatter.section("Commands"):
@@ -77,12 +77,12 @@
 
 
 def read_config(path: Path | None) -> Config:
-    """The configuration as it stands now. Raises ConfigError."""
+    """Read the current configuration. Raises ConfigError."""
     return operator_config(path) if path is not None else platform_config(os.environ)
 
 
 def load_config(path: Path | None) -> Config:
-    """The configuration, or an exit with one clear line."""
+    """Read the configuration; if it is invalid, exit with one line that says why."""
     try:
         return read_config(path)
     except ConfigError as error:
@@ -132,7 +132,7 @@
 
 
 def in_effect(config: Config) -> Iterator[tuple[str, Any, bool]]:
-    """Every value that a sender would start with: its key, and whether it is the one without any setting."""
+    """Yield the key and value of each setting in effect, and whether it is the default."""
     for field in dataclasses.fields(config.settings):
         value = getattr(config.settings, field.name)
         usual = field.default is not dataclasses.MISSING and value == field.default
@@ -147,7 +147,7 @@
 
 
 def plain(value: Any) -> Any:
-    """A record as plain values."""
+    """Convert a record to plain values that can be printed as JSON."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return {f.name: plain(getattr(value, f.name)) for f in dataclasses.fields(value)}
     if isinstance(value, Enum):
--- a/rowanrack/config.py
+++ b/rowanrack/config.py
@@ -1,4 +1,4 @@
-"""What a sender is told, checked before it starts: the platform's environment, or an operator's file."""
+"""The configuration of a sender, checked at the start: the platform's environment, or a site file."""
 
 from __future__ import annotations
 
@@ -21,23 +21,24 @@
     from rowanrack.site_file import InstanceTable, SiteFile
 
 
-# Where lists are pushed, what the agent gets when discovery returns counts as told at once. A failed watch is
-# asked for after a quarter of the time for asking, spread by a quarter: so within half of the drain grace.
+# Where lists are pushed, whatever discovery's agent receives counts as known at once. A failed watch is
+# repeated after a quarter of the polling time, with a jitter of a quarter; with this factor the repeat comes
+# within half of the drain grace.
 PUSHED_WITHIN_GRACES = 1.6
-DRAIN_GRACE_US = 250_000  # where the settings name none
+DRAIN_GRACE_US = 250_000  # used if the settings contain none
 
-TICK_US = 5_000  # resolution of timers where none is given,
-DISK_MB = 3.0  # and the room for the journal,
-SOCKETS = 1024  # and the descriptors
+TICK_US = 5_000  # timer resolution
+DISK_MB = 3.0  # space for the journal
+SOCKETS = 1024  # limit on descriptors
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text is one clear line."""
+    """The configuration is invalid; the text is a single line that says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeersConfig:
-    """Where notes from other senders arrive, the addresses that they come from, and that of all of them."""
+    """The address on which gossip notes arrive, the other senders' addresses, and the broadcast address."""
 
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]
@@ -46,19 +47,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """Where the platform's front meets clients and discovery, and this sender the others."""
+    """The addresses of the platform's front end, of discovery and of the other senders."""
 
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seq: int
     known: tuple[Endpoint, ...]
     peers: PeersConfig | None = None
-    pushed: bool = False  # whether what discovery has counts as told from the start, asked for or not
+    # whether discovery's lists count as known from the start, even if they were not requested
+    pushed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class OtlpConfig:
-    """Where the OTLP front listens, and how it reads requests."""
+    """The OTLP front end's address, and how it reads requests."""
 
     listen: tuple[str, int]
     body_limit: int
@@ -67,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsulConfig:
-    """Consul's agent, and the services whose instances are listed: those named, or those with the tag."""
+    """The Consul agent, and the services to list: the named ones, or all with the tag."""
 
     address: tuple[str, int]
     services: tuple[str, ...]
@@ -76,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordConfig:
-    """Where a recording goes, and the room on disk that it may take."""
+    """The folder of a recording, and the disk space that it may use."""
 
     folder: Path
     most_bytes: int
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelsConfig:
-    """Where other sites reach this sender's log, the sites, and how much is kept for how long."""
+    """The channel log: its address, the other sites, and how much is kept for how long."""
 
     listen: tuple[str, int]
     sites: Mapping[str, tuple[str, int]]
@@ -95,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a sender needs to know at its start."""
+    """The complete configuration of a sender."""
 
     name: str
     settings: Settings
@@ -110,7 +112,7 @@
     console: Path | None = None
     record: RecordConfig | None = None
     instances: tuple[Endpoint, ...] = ()
-    mgmt: tuple[str, int] | None = None  # the operators' address
+    mgmt: tuple[str, int] | None = None  # address of the management server
     channels: ChannelsConfig | None = None
 
     def __post_init__(self) -> None:
@@ -124,9 +126,9 @@
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """The keys in which a configuration differs from the one in use, but for those that a reload takes over.
+    """Return the changed keys that a reload cannot apply.
 
-    A reload takes over: the platform's `discovery`, the file's instances, and OTLP's map and destinations.
+    A reload applies the platform's `discovery`, the endpoints in the file, and OTLP's map and destinations.
     """
     fixed = (
         "name",
@@ -152,7 +154,7 @@
 
 
 def load(path: Path, parse: Callable[[str], Any], form: str) -> dict[str, Any]:
-    """The object in a file of that form."""
+    """Parse a file, and return its top-level object."""
     try:
         doc = parse(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -165,13 +167,13 @@
 
 
 def given(doc: Mapping[str, Any], key: str, default: Any) -> Any:
-    """What a document says under a key that may be absent or null."""
+    """Return a key's value, or the default if the key is absent or null."""
     value = doc.get(key)
     return default if value is None else value
 
 
 def platform_config(env: Mapping[str, str]) -> Config:
-    """The configuration of a sender on the platform, from its environment."""
+    """Read the configuration of a sender on the platform from its environment."""
     if not env.get("ROUTER_CONFIG"):
         raise ConfigError("ROUTER_CONFIG is not set")
     doc = load(Path(env["ROUTER_CONFIG"]), json.loads, "JSON")
@@ -181,7 +183,7 @@
     try:
         raw = doc["settings"]
         settings = parse_settings(json.dumps(raw))
-        # Where lists are pushed, they come on a watch here too; only the clock is another.
+        # Such a sender also reads the lists through a watch; only the required polling time differs.
         if pushed := not settings.on_request:
             grace_us = given(given(raw, "rules", {}), "drain_grace_us", DRAIN_GRACE_US)
             within_us = min(settings.ask_within_us, max(1, int(PUSHED_WITHIN_GRACES * grace_us)))
@@ -198,7 +200,7 @@
             sockets=int(given(limits, "sockets", SOCKETS)),
             platform=PlatformConfig(
                 parse_address(env.get("ROUTER_LISTEN") or doc["listen"]),
-                # The file first: it may have been replaced since the environment was set.
+                # The file takes precedence: it may have been replaced after the environment was set.
                 parse_address(doc.get("discovery") or env["ROUTER_DISCOVERY"]),
                 seq,
                 tuple(known),
@@ -214,18 +216,18 @@
 
 
 def operator_config(path: Path) -> Config:
-    """The configuration of a sender at a small site, from its operator's TOML file."""
-    from rowanrack.site_file import SiteFileError, read  # msgspec: only where it is used
+    """Read the configuration of a sender at a small site from the operator's TOML file."""
+    from rowanrack.site_file import SiteFileError, read  # loads msgspec only if used
 
     try:
         site: SiteFile = read(path)
         state = Path(site.state)
         if not state.is_dir():
             raise ValueError(f"state: {state} is not a folder")
-        # The records have been checked; the settings are read by the one reader that the platform's have too.
+        # The records have been validated; the settings are parsed by the same code as the platform's.
         settings = parse_settings(json.dumps(tomllib.loads(path.read_text(encoding="utf-8"))["settings"]))
         if site.platform is not None:
-            settings = replace(settings, on_request=True)  # its discovery tells only those who ask
+            settings = replace(settings, on_request=True)  # its discovery answers only requests
         return Config(
             name=site.name,
             settings=settings,
@@ -252,7 +254,7 @@
 
 
 def _peers(doc: Mapping[str, Any], settings: Settings) -> PeersConfig | None:
-    """Where senders tell each other something; None where they may not, or no address is given."""
+    """Return the gossip addresses, or None if the settings disable gossip or an address is missing."""
     listen, peers, all_at = (doc.get(key) for key in ("peer_listen", "peers", "peers_all"))
     if not notes_enabled(settings) or not (listen and peers and all_at):
         return None
--- a/rowanrack/core/__init__.py
+++ b/rowanrack/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: taken messages, their attempts and their ends. No I/O, and no wire is known here."""
+"""Accepted messages, their attempts and their final answers. No I/O, and no knowledge of any protocol."""
--- a/rowanrack/core/endpoint_list.py
+++ b/rowanrack/core/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The name table: the instances that there are, as its sources list them."""
+"""The endpoint list: all endpoints that the discovery sources currently report."""
 
 from __future__ import annotations
 
@@ -8,39 +8,42 @@
 from rowanrack.core.messages import Endpoint
 from rowanspindle import EndpointListUpdate, EndpointStatus, UpdateScope
 
-KEPT_US = 60_000_000  # a destination whose instances are gone is known so long: the next may be listed late
+# how long a destination stays known after its last endpoint is removed: its next one may be listed late
+KEPT_US = 60_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListChange:
-    """What news has changed: the same for the module, and the names that want no new calls, or are gone."""
+    """The effect of a list update: the update for the decision module, and the endpoints that it affects."""
 
     members: EndpointListUpdate
-    news: tuple[Endpoint, ...] = ()  # as they are there now, those that are gone among them
-    closed: tuple[str, ...] = ()  # draining, gone, or moved to another destination or address
+    news: tuple[Endpoint, ...] = ()  # the changed endpoints in their current state, removed ones included
+    # endpoints that take no new calls: draining, removed, or moved to another destination or address
+    closed: tuple[str, ...] = ()
     gone: tuple[str, ...] = ()
 
 
 class EndpointList:
-    """Instances by name. A whole list replaces only the entries of the source that it comes from.
+    """The known endpoints by name. A full list replaces only the entries of the source that sent it.
 
-    Of sources that name the same instance the last news hold; what one leaves out stays as another lists it.
-    A detached instance is there as draining. News costs what it holds, and a question one look-up, however
-    many instances there are.
+    If several sources list the same endpoint, the most recent update wins; an endpoint that one source
+    removes stays as another source lists it. A detached endpoint is shown as draining. The cost of an update
+    is proportional to its own size and a look-up takes constant time, however many endpoints there are.
     """
 
     def __init__(self) -> None:
-        self.bans: set[str] = set()  # detached by hand
+        self.bans: set[str] = set()  # endpoints that an operator has detached
         self._instances: dict[str, Endpoint] = {}
-        self._given: dict[str, dict[str, Endpoint]] = {}  # by name and source, the last behind
+        # by name, then by source, the most recent source last
+        self._given: dict[str, dict[str, Endpoint]] = {}
         self._sources: dict[str, set[str]] = {}
-        self._counts: dict[int, int] = {}  # instances of each destination that has any
-        self._emptied: dict[int, int] = {}  # when a destination lost its last one; the earliest comes first
+        self._counts: dict[int, int] = {}  # number of endpoints of each destination that has any
+        self._emptied: dict[int, int] = {}  # when each destination lost its last endpoint, in order of time
 
     def update(
         self, scope: UpdateScope, instances: Iterable[Endpoint], source: str = "", now_us: int = 0
     ) -> EndpointListChange:
-        """Take news in, and return what it changes."""
+        """Apply an update from one source, and return its effect."""
         news, named = list(instances), self._sources.setdefault(source, set())
         if scope is UpdateScope.FULL:
             missing = named - {i.name for i in news}
@@ -61,14 +64,14 @@
         return self.show(shown, now_us, scope)
 
     def given(self, name: str) -> Endpoint | None:
-        """An instance as its last source lists it, detached or not."""
+        """Return an endpoint as the most recent source lists it, whether detached or not."""
         given = self._given.get(name)
         return given[next(reversed(given))] if given else None
 
     def show(
         self, news: Iterable[Endpoint], now_us: int, scope: UpdateScope = UpdateScope.DELTA
     ) -> EndpointListChange:
-        """Let these be there from now on, whatever is given."""
+        """Set these endpoints to the given state, whatever the sources list."""
         shown, closed, gone = [self._banned(i) for i in news], list[str](), list[str]()
         for instance in shown:
             if (old := self._instances.get(instance.name)) is not None:
@@ -101,30 +104,30 @@
                 del self._emptied[oldest[0]]
 
     def knows(self, dest: int, now_us: int) -> bool:
-        """Whether a destination has an instance, or had one a short while ago."""
+        """Return whether a destination has an endpoint, or had one within the last KEPT_US."""
         if dest in self._counts:
             return True
         emptied_at = self._emptied.get(dest)
         return emptied_at is not None and now_us - emptied_at <= KEPT_US
 
     def get(self, name: str) -> Endpoint | None:
-        """An instance, if it is there."""
+        """Return an endpoint, or None if it is not listed."""
         return self._instances.get(name)
 
     def listed(self, name: str) -> bool:
-        """Whether an instance is there and wants new calls: it neither drains nor is gone."""
+        """Return whether an endpoint accepts new calls: it is neither draining nor removed."""
         instance = self.get(name)
         return instance is not None and instance.status is EndpointStatus.LISTED
 
     def instances(self) -> list[Endpoint]:
-        """All that are there, as they are listed."""
+        """Return all endpoints in their current state."""
         return list(self._instances.values())
 
     def names(self) -> set[str]:
-        """All that are there."""
+        """Return the names of all endpoints."""
         return set(self._instances)
 
 
 def _place(instance: Endpoint) -> tuple[int, str, int]:
-    """What a call that waits for its connection rests on."""
+    """Return what a call that waits for a connection depends on: destination and address."""
     return instance.dest, instance.host, instance.port
--- a/rowanrack/core/event_feed.py
+++ b/rowanrack/core/event_feed.py
@@ -1,4 +1,4 @@
-"""The events of a round, as the decision module reads them."""
+"""The list of events that one round passes to the decision module."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class EventFeed(list[Event]):
-    """Events that know how far they were read, so that a failure on one does not lose those behind it."""
+    """Events that record how far they were read, so that a failure on one does not lose the next ones."""
 
     def __init__(self, events: Iterable[Event]) -> None:
         super().__init__(events)
         self.read = 0
 
     def __iter__(self) -> Iterator[Event]:
-        """All of them from the first on; each counts as read once it is given out."""
+        """Iterate from the first event; an event counts as read once it has been yielded."""
         self.read = 0
         for event in super().__iter__():
             self.read += 1
             yield event
 
     def unread(self) -> EventFeed:
-        """Those that were not given out."""
+        """Return the events that have not been yielded."""
         return EventFeed(self[self.read :])
--- a/rowanrack/core/exchange.py
+++ b/rowanrack/core/exchange.py
@@ -1,7 +1,8 @@
-"""The exchange: the one place where the clients' side and the instances' side meet.
+"""The exchange connects the front ends, which accept messages, with the calls to endpoints.
 
-It owns every taken message until its end, drives the decision module with what happens on both sides, and
-carries out what the module decides. Clock, store and both sides reach it through the ports below.
+It owns every accepted message until its final answer, passes events from both sides to the decision module,
+and carries out the actions that the module returns. Clock, store, front ends and endpoint calls are reached
+through the protocols below.
 """
 
 from __future__ import annotations
@@ -60,102 +61,111 @@
 log = logging.getLogger(__name__)
 
 MAYBE_RAN = frozenset({Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED})
-UNSENT = {Result.TIMEOUT: Result.CONNECT_FAILED, Result.CANCELLED: Result.MOOT}  # of a call that never ran
-GUARD_US = 100_000  # past a message's time: the module has ended it by then, unless it failed
+# the result of a call that was given up before it was sent, and so cannot have run
+UNSENT = {Result.TIMEOUT: Result.CONNECT_FAILED, Result.CANCELLED: Result.MOOT}
+# grace after a deadline before the exchange itself ends a message; the module has normally done so by then
+GUARD_US = 100_000
 LONG_AGO_US = 1 << 60
-HEARD_US = 10_000  # for which a note may wait for others
-STORE_LOOK_US = 100_000  # between looks at whether the store records again
-# An attempt that the store did not record. The wait guards the attempts that a message has: without it each
-# round would send it, and stop it, anew.
+HEARD_US = 10_000  # how long a received gossip note may wait, so that one round handles several
+STORE_LOOK_US = 100_000  # interval at which a store that cannot record is checked again
+# Verdict for an attempt that the store could not record. The wait protects the message's limited number of
+# attempts: without it, each round would send the message and stop it again.
 UNRECORDED = CallVerdict(Result.MOOT, wait_us=500_000)
-ANSWER_US = 50_000  # between looks at an answer that had begun to come in when its call's time was up
+ANSWER_US = 50_000  # interval at which a call that timed out while its answer was arriving is checked again
 ANSWER_LOOKS = 4
-DECIDE_AGAIN_US = 1_000_000  # after a round that the decision module could not finish, before the next try
-OVERDUE_US = 20_000  # by which a round is late before whoever comes next runs it
+# delay before a round is tried again in which the decision module failed without reading an event
+DECIDE_AGAIN_US = 1_000_000
+OVERDUE_US = 20_000  # a round that is this late is run by the next code path that gets the event loop
 
 
 class Clock(Protocol):
-    """Time, and a wake-up call."""
+    """The time source, and a single wake-up timer."""
 
     def now_us(self) -> int:
-        """Microseconds on a clock that never goes back."""
+        """Return monotonic time in microseconds."""
 
     def unix_us(self) -> int:
-        """Unix time in microseconds."""
+        """Return Unix time in microseconds."""
 
     def wake_at(self, due_us: int) -> None:
-        """Ask for `Exchange.pump` at that time; a sooner call replaces a later one."""
+        """Schedule `Exchange.pump` for that time; an earlier request replaces a later one."""
 
 
 class Store(Protocol):
-    """What must outlast the process. What it has said yes to is there in the next one, whatever happens.
+    """Storage that survives the process. Whatever it has confirmed is available to the next process.
 
-    Proofs and ends cannot be refused: what cannot be written of them is kept, and written in order before
-    anything new is taken or begun.
+    `never_ran` and `end` cannot be refused: a record that cannot be written yet is kept in memory, and
+    written in order before any new message is accepted or attempt begun.
     """
 
     def recording(self) -> bool:
-        """Whether something new may be taken. While not, each call tries to get there: ask now and then."""
+        """Return whether new messages can be recorded.
+
+        If not, each call tries to recover, so call it from time to time.
+        """
 
     def behind(self) -> bool:
-        """Whether nothing may begin, for a proof or an end is unwritten. Each call tries to write it."""
+        """Return whether no attempt may begin because a `never_ran` or `end` record is unwritten.
+
+        Each call retries the write.
+        """
 
     def take(self, message: Message) -> bool:
-        """Record a message; False when there is no room for it, its attempts and its end."""
+        """Record a message; return False if there is no room for it, its attempts and its final answer."""
 
     def begin(self, message: Message, attempt_number: int) -> bool:
-        """Record that an attempt is about to begin; False if that cannot be done."""
+        """Record that an attempt is about to begin; return False if that is not possible."""
 
     def never_ran(self, message: Message, attempt_number: int) -> None:
-        """Record the proof that an attempt never ran."""
+        """Record that an attempt is known never to have run."""
 
     def end(self, message: Message, end: End) -> None:
-        """Record the one end of a message, which its client may be told from now on."""
+        """Record the final answer to a message; its client may be told from now on."""
 
     def ended(self, message_id: str) -> End | None:
-        """The recorded end of a message, while it is kept."""
+        """Return the recorded final answer to a message, while it is retained."""
 
 
 class EndpointCalls(Protocol):
-    """Calls to instances."""
+    """Makes calls to endpoints."""
 
     def start(self, batch: Batch) -> None:
-        """Make the call; the end of each attempt comes back by `Exchange.settle`."""
+        """Start the call; the result of each attempt is reported through `Exchange.settle`."""
 
     def abandon(self, batch: Batch) -> None:
-        """Stop waiting: the call's connection is closed, and nothing more comes back."""
+        """Close the connection of a call; nothing more is reported for it."""
 
     def close_idle(self, name: str) -> None:
-        """Close the idle connections to an instance."""
+        """Close the idle connections to an endpoint."""
 
     def progress(self, batch: Batch) -> Progress:
-        """How far a call has come, asked right before it is given up."""
+        """Return how far a call has come; used right before it is given up."""
 
 
 class Observer(Protocol):
-    """Who is told of everything that happens, and changes nothing."""
+    """Receives a notification of everything that happens, without influencing it."""
 
     def taken(self, message: Message, left_us: int) -> None:
-        """A message is owned, just taken or found at the start."""
+        """A message is owned: newly accepted, or recovered from the journal."""
 
     def turned_away(self, message: Message | None, refusal: Refusal) -> None:
-        """A message is not taken; without it when it was not read that far."""
+        """A message was refused; `message` is None if the request was not read that far."""
 
     def listed(self, news: list[Endpoint], gone: list[str]) -> None:
-        """News of instances, and the names of those that are gone."""
+        """The endpoint list changed: endpoints that were added or updated, and names of removed ones."""
 
     def began(self, attempt: Attempt) -> None:
-        """A call's first byte is about to go out."""
+        """The first byte of a call is about to be sent."""
 
     def settled(self, attempt: Attempt, result: Result, wait_us: int) -> None:
-        """A call has ended; its message may have ended with it, but is told of later."""
+        """A call has ended. If its message ends too, `ended` follows."""
 
     def ended(self, message: Message, end: End) -> None:
-        """A message has ended."""
+        """A message has its final answer."""
 
 
 class Exchange:
-    """Taken messages, their deadlines and their attempts."""
+    """Owns the accepted messages, their deadlines and their attempts."""
 
     def __init__(self, settings: Settings, seed: int, clock: Clock, store: Store, tick_us: int) -> None:
         self.settings, self.clock, self.store = settings, clock, store
@@ -167,12 +177,13 @@
         self.side: EndpointCalls | None = None
         self.observers: tuple[Observer, ...] = ()
         self.watch: Callable[[], None] = lambda: None
-        self.tell: Callable[[Note], None] = lambda note: None  # a note to all other senders
-        self.round_over: Callable[[], None] = lambda: None  # the ends of a round are known: tell them now
+        self.tell: Callable[[Note], None] = lambda note: None  # sends a gossip note to all other senders
+        # called after each round: its final answers can be sent to clients now
+        self.round_over: Callable[[], None] = lambda: None
         self.load_shedder = LoadShedder(clock.now_us())
         self.listeners: dict[str, Callable[[Message, End], None]] = {}
         self.figures = Metrics()
-        self.bans = self.table.bans  # nothing new goes there, whatever the lists say
+        self.bans = self.table.bans  # detached endpoints get no new calls, whatever the sources list
         self._refs: dict[int, Message] = {}
         self._next_ref = 0
         self._events: list[Event] = []
@@ -180,24 +191,27 @@
         self._pumping = False
         self._due_us: int | None = None  # when the next round is due
         self._waits: DeadlineQueue[str | int] = DeadlineQueue()
-        self._unbegun: dict[str, dict[Attempt, None]] = {}  # by the instance that they are for
-        self._batches: dict[str, list[Batch]] = {}  # what the round sends, by instance
-        self._looks = False  # whether a look at the store is due
+        # attempts whose call has not been sent yet, by endpoint name
+        self._unbegun: dict[str, dict[Attempt, None]] = {}
+        # calls that the current round has gathered, by endpoint name
+        self._batches: dict[str, list[Batch]] = {}
+        self._looks = False  # whether a check of the store is scheduled
 
     def observe(self, observer: Observer) -> None:
-        """Tell one more observer of everything."""
+        """Add an observer."""
         self.observers += (observer,)
 
     def unobserve(self, observer: Observer) -> None:
-        """Tell it no more."""
+        """Remove an observer."""
         self.observers = tuple(o for o in self.observers if o is not observer)
 
-    # The clients' side.
+    # Interface to the front ends.
 
     def too_busy(self, message_id: str) -> Refusal | None:
-        """Asked before a request is read any further: a refusal while the core is full.
+        """Return a refusal if the sender is overloaded. Called before a request is read any further.
 
-        What is owed or has ended under that id is answered as ever: a refusal would deny it.
+        A message id that is owned or has a final answer is never refused here: the client gets that answer
+        instead.
         """
         self.run_overdue_round()
         if message_id and self.known(message_id) is not None:
@@ -207,13 +221,13 @@
         return self._turned_away(None, Refusal(min(retry_us, self.settings.max_come_back_us)))
 
     def submit(self, message: Message) -> Refusal | None:
-        """Take a message, or refuse it; once this returns None the sender owes its end."""
+        """Accept a message and return None, or refuse it. An accepted message is owed a final answer."""
         self.run_overdue_round()
         if self.frozen or len(self.messages) >= self.settings.most_held:
             return self._turned_away(message, Refusal(self._retry_us()))
         if not self.table.knows(message.dest, self.clock.now_us()):
-            # Guards the hold against destinations that do not exist. A real one that is not listed yet can be
-            # told from them by nobody, so its client is asked to come again.
+            # Messages for destinations that do not exist must not fill the hold. Such a destination cannot be
+            # told from a real one that is not listed yet, so the client is asked to retry.
             return self._turned_away(message, Refusal(self._retry_us()))
         if not self.store.recording() or not self.store.take(message):
             if self.store.recording():
@@ -225,10 +239,10 @@
         return None
 
     def adopt(self, message: Message, served: bool = True, found: bool = False) -> None:
-        """Own a message that the store holds already: just taken, or found at the start.
+        """Own a message that the store already holds: newly accepted, or recovered (`found`).
 
-        One found at the start ends at once where this process cannot answer for its calls: its front is not
-        served any more, or the settings have changed so that nothing says what a repeat would do.
+        A recovered message ends at once if this process cannot handle it: its front end is no longer
+        configured, or the settings have changed so that it is unknown whether a repeated call is safe.
         """
         self._next_ref += 1
         message.ref = self._next_ref
@@ -256,44 +270,48 @@
         )
 
     def _repeats_known(self, message: Message) -> bool:
-        """Whether the settings say what a repeat of a message would do. Fronts take no other; a start may
-        find one whose class is gone, or that came without a key while its class was not keyed."""
+        """Return whether the settings say what a repeated call of this message does.
+
+        Front ends accept no other message, but one recovered from the journal may belong to a class that was
+        removed, or lack a key because its class was not keyed when it was accepted.
+        """
         cls = self.settings.classes.get(message.cls)
         return cls is not None and (bool(message.key) or cls.effect is not Effect.KEYED)
 
     def _give_back(self, message: Message) -> None:
-        """End a message that cannot be called out: refused if it surely has not run, else failed."""
+        """End a message that cannot be delivered: refused if it certainly has not run, otherwise failed."""
         log.warning("message %s is given back: class %s, front %s", message.id, message.cls, message.front)
         ran = bool(message.unsettled)
         self._end(message, End(Ending.FAILED) if ran else End(Ending.REFUSED, self._retry_us()))
 
     def _waited_us(self, message: Message, left_us: int) -> int:
-        """For how long a message that was found has been owed, at most: its class tells its whole time."""
+        """Return the longest time that a recovered message can have been owned, from its class's deadline."""
         return max(0, self.settings.classes[message.cls].deadline_us - left_us)
 
     def _ran_us(self, message: Message) -> int:
-        """How long ago the first attempt that may have run began, for a message that is adopted."""
+        """Return the age of the first attempt that may have run, for a message that is being adopted."""
         cls = self.settings.classes.get(message.cls)
-        # Guards a keyed repeat across a restart: where it may go is not known any more.
+        # After a restart it is no longer known in which zone a keyed message ran first, so no repeat is
+        # allowed.
         if message.unsettled and cls is not None and cls.same_zone:
             return LONG_AGO_US
         return self._first_begun_us(message)
 
     def _first_begun_us(self, message: Message) -> int:
-        """How long ago the first attempt that may have run began, as far as is known; 0 without one."""
+        """Return the age of the first attempt that may have run; LONG_AGO_US if unknown, 0 if none."""
         if not message.unsettled:
             return 0
         since = min(message.unsettled.values())
         return max(0, self.clock.unix_us() - since) if since else LONG_AGO_US
 
     def _key_lapsed(self, message: Message) -> bool:
-        """Whether a keyed message may go no more: its repeat would not be dropped."""
+        """Return whether a keyed message may not be repeated because its key has expired at endpoints."""
         cls = self.settings.classes.get(message.cls)
         keyed = cls is not None and cls.effect is Effect.KEYED and bool(message.unsettled)
         return keyed and cls is not None and self._first_begun_us(message) >= cls.key_ttl_us
 
     def known(self, message_id: str) -> Message | End | None:
-        """A message that was handed in before: itself while it is owed, then its end while that is kept."""
+        """Return the message with this id while it is owned, then its final answer while retained."""
         return self.messages.get(message_id) or self.store.ended(message_id)
 
     def _turned_away(self, message: Message | None, refusal: Refusal) -> Refusal:
@@ -306,30 +324,30 @@
     def _retry_us(self) -> int:
         return min(1_000_000, self.settings.max_come_back_us)
 
-    # The instances' side.
+    # Interface to discovery and to the endpoint calls.
 
     def list_instances(self, scope: UpdateScope, instances: Iterable[Endpoint], source: str = "") -> None:
-        """News from a source of the name table. A detached instance is listed as draining."""
+        """Apply an update of the endpoint list from one source. A detached endpoint is listed as draining."""
         self._listed(self.table.update(scope, instances, source, self.clock.now_us()))
 
     def detach(self, name: str) -> bool:
-        """Send nothing new to an instance until it is attached again; False if no list names it."""
+        """Send nothing new to an endpoint until it is attached; return False if no source lists it."""
         if self.table.given(name) is None and name not in self.bans:
             return False
         self.ban(name)
         return True
 
     def outages(self) -> tuple[Outage, ...]:
-        """What is known of endpoints that are out or cold, for the next process."""
+        """Return the known outages and cold endpoints, to be saved for the next process."""
         return self.forwarder.outages(self.clock.now_us())
 
     def recall(self, outages: tuple[Outage, ...]) -> None:
-        """What the process before this one knew of them, before anything is sent."""
+        """Restore the outages that the previous process saved; called before anything is sent."""
         if outages:
             self._put(OutagesRestored(outages))
 
     def ban(self, name: str) -> None:
-        """Detach an instance, known or not yet: a ban outlasts the lists, and comes over from a restart."""
+        """Detach an endpoint, listed or not: the ban outlasts list updates and restarts."""
         if name in self.bans:
             return
         self.bans.add(name)
@@ -337,7 +355,7 @@
             self._listed(self.table.show([given], self.clock.now_us()))
 
     def attach(self, name: str) -> bool:
-        """Lift a ban; the instance comes back cold, as a new one. False if it was not detached."""
+        """Lift a ban; the endpoint returns cold, like a new one. Return False if it was not detached."""
         if name not in self.bans:
             return False
         self.bans.discard(name)
@@ -348,7 +366,7 @@
 
     @property
     def ejected(self) -> int:
-        """Listed instances that are avoided now: detached by hand, or out by the module's judgement."""
+        """Return how many listed endpoints are detached, or taken out by the decision module."""
         listed = self.table.names()
         endpoints = self.forwarder.endpoints.items()
         out = {name for name, e in endpoints if e.out_since is not None and name in listed}
@@ -361,31 +379,36 @@
         self._put(change.members)
         for name in change.closed:
             for attempt in list(self._unbegun.get(name, ())):
-                # A call still waiting for its connection must not go to what drains, is gone or has moved.
+                # A call still waiting for a connection must not go to an endpoint that drains, is removed or
+                # has moved.
                 self._drop(attempt, Result.MOOT)
             if self.side is not None:
                 self.side.close_idle(name)
-        # What is kept by an instance's name ends with it: another may come under its name or address.
+        # State kept by endpoint name is dropped with the endpoint: another may reuse its name or address.
         for name in change.gone:
             self._waits.drop(name)
-        self._waits.due(self.clock.now_us())  # those that are over go with it
+        self._waits.due(self.clock.now_us())  # also drops waits that have expired
 
     def begin(self, attempt: Attempt) -> bool:
-        """Asked right before a call's first byte: whether it may still be sent. The store knows it first."""
+        """Return whether a call may still be sent, and record that it begins.
+
+        Called right before the first byte of the call.
+        """
         message = attempt.message
         if attempt.settled:
             return False
-        # Guards against a send after a wait was told, or to an instance that drains or is gone, by a call
-        # that was decided on before and waited for its connection.
+        # The call was decided on earlier and has waited for a connection. In the meantime the destination may
+        # have asked for a wait, or the endpoint may have been drained or removed.
         waiting = (self._waits.get(self._limit(attempt)) or 0) > self.clock.now_us()
         barred = waiting or not self._owed(message) or not self.table.listed(attempt.endpoint.name)
-        # Or a repeat that waited for its connection until its key's time was over.
+        # The key may also have expired while a repeated call waited for a connection.
         barred = barred or self._key_lapsed(message)
-        # Guards against a second effect after a restart: what the store does not know must not begin.
+        # The store records the call first: after a restart, an unrecorded call could take effect a second
+        # time.
         if barred or not self.store.begin(message, attempt.attempt_number):
             self.settle(attempt, Result.MOOT if barred else UNRECORDED)
             return False
-        late = self._key_lapsed(message)  # while the store took its time
+        late = self._key_lapsed(message)  # the key may also have expired while the store was writing
         message.unsettled[attempt.attempt_number] = self.clock.unix_us()
         attempt.begun = True
         if late:
@@ -398,7 +421,10 @@
         return True
 
     def settle(self, attempt: Attempt, verdict: CallVerdict | Result) -> None:
-        """An attempt has ended, and its message too if the verdict says so. Only its first end counts."""
+        """Record that an attempt has ended, and end its message if the verdict says so.
+
+        Only the first call for an attempt counts.
+        """
         if attempt.settled:
             return
         if isinstance(verdict, Result):
@@ -449,22 +475,29 @@
                 del self._unbegun[attempt.endpoint.name]
 
     def _limit(self, attempt: Attempt) -> str | int:
-        """What a told wait holds for: the whole destination, or one route where routes are apart."""
+        """Return what a retry-after wait applies to.
+
+        That is the whole destination, or the single endpoint if the endpoints of its kind are limited
+        separately.
+        """
         instance = attempt.endpoint
         apart = self.settings.kinds.get(instance.kind, DestinationKind()).apart
         return instance.name if apart else instance.dest
 
-    # The other senders.
+    # Interface to the other senders.
 
     def heard(self, peer: int, note: Note) -> None:
-        """A note from another sender, by its number. Notes of many come together: a round serves several."""
+        """Receive a gossip note from another sender.
+
+        Notes tend to arrive together, so the round waits a little in order to handle several.
+        """
         self._events.append(NoteReceived(peer, note))
         self._wake_at(self.clock.now_us() + HEARD_US)
 
-    # The module.
+    # Interface to the decision module.
 
     def after(self, delay_us: int, action: Callable[[], None]) -> WheelTimer:
-        """A timer on the wheel, for the adapters too."""
+        """Start a timer on the wheel; the adapters use it too."""
         due = self.clock.now_us() + delay_us
         timer = self.wheel.at(due, action)
         self._wake_at(due + self.wheel.tick_us)
@@ -476,26 +509,26 @@
             self.clock.wake_at(due_us)
 
     def run_overdue_round(self) -> None:
-        """Run a round that is overdue. Whoever uses the loop's time calls this, bad clients' servers too.
+        """Run the next round now if it is overdue. Called by everything that uses the event loop for long.
 
-        Guards what is owed against a full core: a round must not queue behind everything else that is ready,
-        and with it the ends of messages whose time is up.
+        Under overload a round must not queue behind all other ready callbacks: the final answers of messages
+        at their deadline would be late.
         """
         if self._due_us is not None and self.clock.now_us() - self._due_us >= OVERDUE_US:
             self.pump()
 
     def freeze(self) -> None:
-        """Decide no more: what is out may still settle, and what is owed is left to the next process.
+        """Make no more decisions; open calls may settle, and other messages stay for the next process.
 
-        Guards against calls that begin right before the exit, which would cut them off: an order that may
-        have run can only be failed.
+        A call that begins right before the exit would be cut off, and a non-repeatable message that may have
+        run can only be failed.
         """
         self.frozen = True
 
     def pump(self) -> None:
-        """Fire what is due, let the module decide on all that happened, and do what it says."""
+        """Fire due timers, pass all events to the decision module, and carry out its actions."""
         if self._pumping:
-            return  # what it starts may knock
+            return  # the actions of a round may call `run_overdue_round`
         self._pumping = True
         try:
             self._round(self.clock.now_us())
@@ -519,10 +552,11 @@
             self._wake_at(due)
 
     def _decide(self, now: int, events: EventFeed) -> None:
-        """Let the module decide, and do what it says. An event that it fails on takes no other one with it.
+        """Run the decision module and carry out its actions; skip an event on which it fails.
 
-        What it had decided before a failure is done, since it counts on that: a send that it believes to be
-        out would hold a slot for ever. The message of the event stays owned, and its guard timer ends it.
+        Actions decided before the failure are carried out, because the module relies on them: a send that it
+        believes to be under way would occupy a slot for ever. The message of the failed event stays owned,
+        and its guard timer ends it.
         """
         while True:
             before = self.forwarder.actions
@@ -534,8 +568,8 @@
             decided = self.forwarder.actions
             self._carry_out(decided if decided is not before else [], now)
             if not events.read:
-                # No event is at fault. The round is tried again later: without that no timer of the module
-                # would be armed any more.
+                # The failure was not caused by an event. The round is retried later; without that, no timer
+                # of the module would be armed again.
                 self.after(DECIDE_AGAIN_US, lambda: self._put(TimerFired(self.forwarder.token)))
                 return
             events = events.unread()
@@ -545,7 +579,7 @@
             try:
                 self._do(action, now)
             except Exception:
-                # The messages stay owned, and the actions behind it are still done.
+                # Messages stay owned, and the remaining actions are still carried out.
                 log.exception("%s failed", action)
 
     def _put(self, event: Event) -> None:
@@ -586,7 +620,7 @@
             log.error("the module sends message %d, which has ended", action.ref)
             return
         leg, message.attempts_made = message.attempts_made, message.attempts_made + 1
-        # Guards against a call to another destination's instance, should a list have moved one.
+        # The list may have moved the endpoint to another destination since the module chose it.
         if instance is None or instance.dest != message.dest or self.side is None:
             self._put(Outcome(action.ref, leg, action.target, Result.MOOT, 0, False))
             return
@@ -597,7 +631,8 @@
         attempt.timer = self.after(action.timeout_us, lambda: self._drop(attempt, Result.TIMEOUT))
 
     def _batch_for(self, message: Message, instance: Endpoint) -> Batch:
-        """The batch in which a message of this round travels: as many as the kind takes, none twice."""
+        """Return the batch for a message of this round; its size is limited, and no message is in it twice.
+        """
         most = self.settings.kinds.get(instance.kind, DestinationKind()).batch
         batches = self._batches.setdefault(instance.name, [])
         for batch in batches[-1:]:
@@ -607,7 +642,7 @@
         return batches[-1]
 
     def _start_batches(self) -> None:
-        """The calls that a round has gathered go out together with it."""
+        """Start the calls that the round has gathered."""
         gathered, self._batches = self._batches, {}
         ready = [b for batches in gathered.values() for b in batches]
         if ready and self.store.behind():
@@ -618,7 +653,7 @@
                 self.side.start(batch)
 
     def _look_later(self) -> None:
-        """Look at the store soon, once: also a sender that is idle goes on when the disk has room again."""
+        """Schedule a check of the store, so that an idle sender also resumes when the disk has room again."""
         if not self._looks:
             self._looks = True
             self.after(STORE_LOOK_US, self._look)
@@ -629,10 +664,10 @@
             self._look_later()
 
     def _drop(self, attempt: Attempt, result: Result) -> None:
-        """Stop waiting for an attempt; what was never begun has never run.
+        """Stop waiting for an attempt; one that has not begun is settled as never run.
 
-        One that shares its call with others ends with that call: until then it may run, and no other attempt
-        of its message may be out. The message's own end does not wait for it.
+        An attempt that shares its call with others ends with that call: until then it may run, and its
+        message may have no other attempt under way. The message itself can end before that.
         """
         if attempt.begun:
             attempt.given_up = result
@@ -641,10 +676,11 @@
         self._give_up(attempt.batch)
 
     def _give_up(self, batch: Batch, looks: int = ANSWER_LOOKS) -> None:
-        """Close a call that nobody waits for any more, unless its end has come in and is only not read yet.
+        """Close a call that nobody waits for any more, unless its answer is already arriving.
 
-        Guards a message that is delivered already: under load its time-out and its answer often come in one
-        turn of the loop. The looks are bounded, for an answer that never ends.
+        Under load a time-out and the answer are often handled in the same event-loop iteration, and closing
+        then would discard the answer of a delivered message. The number of checks is bounded, in case the
+        answer never completes.
         """
         left = [e for e in batch.attempts if not e.settled]
         if self.side is None or any(e.given_up is None for e in left):
@@ -667,19 +703,19 @@
         return self.messages.get(message.id) is message
 
     def _forget(self, message: Message) -> None:
-        """An ended message keeps its number while an attempt is out, which may be called off."""
+        """Drop the reference number of an ended message that has no attempt left to cancel."""
         if not self._owed(message) and not message.out:
             self._refs.pop(message.ref, None)
 
     def _overdue(self, message: Message) -> None:
-        """Guards against a message without its end, should the module have failed on it."""
+        """End a message that got no final answer by its deadline because the decision module failed."""
         if self._owed(message):
             log.error("message %s had no end when its time was up", message.id)
             self._end(message, End(Ending.FAILED))
-            self._put(Withdrawn(message.ref))  # should the module hold it, it would send what has ended
+            self._put(Withdrawn(message.ref))  # otherwise the module could still send the ended message
 
     def _end(self, message: Message, end: End) -> None:
-        """The one place where a message ends."""
+        """End a message. This is the only place where that happens."""
         del self.messages[message.id]
         self._forget(message)
         if message.guard is not None:
--- a/rowanrack/core/messages.py
+++ b/rowanrack/core/messages.py
@@ -1,4 +1,4 @@
-"""What the core owns: messages, their attempts and their ends, and the instances that may take them."""
+"""The types of the core: messages, attempts, final answers and endpoints."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from rowanrack.core.wheel import WheelTimer
 from rowanspindle import EndpointEntry, EndpointStatus, Result
 
-HEADER_SAFE = re.compile(r"[!-~]{1,256}")  # ids and keys travel in headers
+HEADER_SAFE = re.compile(r"[!-~]{1,256}")  # ids and keys are sent as HTTP header values
 
 
 class Ending(Enum):
-    """How a message ended. OVER: its client wants it no more, and nothing is owed."""
+    """How a message ended. OVER: the client has withdrawn it and expects no answer."""
 
     DELIVERED = "delivered"
     REFUSED = "refused"
@@ -22,16 +22,17 @@
 
 
 class Progress(Enum):
-    """How far a call has come that is about to be given up."""
+    """How far a call has come at the moment when it is to be given up."""
 
-    UNSENT = "unsent"  # the kernel lacks its last byte: given up now, it never runs
+    # the kernel has not been given its last byte, so the call cannot run if it is closed now
+    UNSENT = "unsent"
     SENT = "sent"
-    ENDING = "ending"  # an answer, or the connection's end, has begun to come in
+    ENDING = "ending"  # an answer, or the end of the connection, has begun to arrive
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The one end of a message; a refusal says when to come again."""
+    """The final answer to a message; a refusal carries the time after which to retry."""
 
     ending: Ending
     retry_us: int = 0
@@ -39,16 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The message is not taken; handing it in again after this time is harmless."""
+    """The message was not accepted; it is safe to submit it again after this time."""
 
     retry_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallVerdict:
-    """What the end of a call means for an attempt; with `end` its message ends, whatever the result.
+    """The consequence of a call's end for an attempt; with `end`, its message ends whatever the result.
 
-    `left` and `limit` are what a report told: the share of the limit that is left, and calls a second.
+    `left` and `limit` come from the endpoint's load report: the remaining share of its limit, and the limit
+    in calls per second.
     """
 
     result: Result
@@ -60,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An endpoint as the name table lists it."""
+    """An endpoint as the endpoint list holds it."""
 
     name: str
     host: str
@@ -72,13 +74,13 @@
     rate: float
 
     def to_entry(self) -> EndpointEntry:
-        """The same in the module's terms."""
+        """Return the entry that the decision module uses."""
         return EndpointEntry(self.name, self.zone, self.kind, self.dest, self.status, self.rate)
 
 
 @dataclass(slots=True)
 class Message:
-    """A message that was taken. Its deadline is Unix time, so that it holds across a restart."""
+    """An accepted message. The deadline is Unix time, so that it stays valid across a restart."""
 
     id: str
     cls: str
@@ -88,9 +90,9 @@
     body: bytes
     front: str
     form: str = ""
-    key: str = ""  # the idempotency key, passed on unchanged
+    key: str = ""  # idempotency key, forwarded unchanged
     attempts_made: int = 0
-    # Attempts begun and not proved never to have run, and when each began (Unix time; 0: not known).
+    # Attempts that began and may have run, with their start in Unix time (0 if unknown).
     unsettled: dict[int, int] = field(default_factory=dict)
     ref: int = 0
     out: dict[int, Attempt] = field(default_factory=dict)
@@ -99,7 +101,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to deliver a message to an instance."""
+    """One attempt to deliver a message to an endpoint."""
 
     message: Message
     attempt_number: int
@@ -110,16 +112,17 @@
     timer: WheelTimer | None = None
     begun: bool = False
     settled: bool = False
-    given_up: Result | None = None  # how it ends unless its call, which goes on for others, says otherwise
+    # the result if the shared call, which goes on for other attempts, reports none
+    given_up: Result | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Batch:
-    """Attempts that travel to an instance together: one slot, and one call where the protocol has one."""
+    """Attempts sent to an endpoint together: they use one slot, and one call if the protocol supports it."""
 
     endpoint: Endpoint
     attempts: list[Attempt] = field(default_factory=list)
 
     def waiting(self) -> list[Attempt]:
-        """Those that are still to be written."""
+        """Return the attempts that have not been sent yet."""
         return [e for e in self.attempts if not (e.begun or e.settled)]
--- a/rowanrack/core/metrics.py
+++ b/rowanrack/core/metrics.py
@@ -1,4 +1,4 @@
-"""The sender's figures since its start, by class, and their exposition text; no I/O, no clock."""
+"""Counters by message class since the start, and their text exposition format. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 
 
 def _label(value: str) -> str:
-    """A label's value as the exposition format writes it."""
+    """Escape a label value for the exposition format."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
 class Metrics:
-    """Counts of messages by class: delivered, refused or handed back, failed; calls written to endpoints."""
+    """Counts by class: messages delivered, refused or handed back, and failed; calls sent to endpoints."""
 
     def __init__(self) -> None:
         self.counts: dict[str, Counter[str]] = {name: Counter() for name in COUNTS}
 
     def ended(self, cls: str, ending: Ending) -> None:
-        """A taken message has its end."""
+        """Count the final answer to an accepted message."""
         self.counts[OF_ENDING[ending]][cls] += 1
 
     def declined(self, cls: str) -> None:
-        """A message was refused before it was taken."""
+        """Count a message that was refused before it was accepted."""
         self.counts["declined"][cls] += 1
 
     def forwarded(self, cls: str) -> None:
-        """A call of a message is about to be written to an endpoint."""
+        """Count a call that is about to be sent to an endpoint."""
         self.counts["forwards"][cls] += 1
 
     def exposition(self, classes: list[str], outstanding: int, discovered: int, ejected: int) -> str:
-        """All figures in the text exposition format; each class appears, with 0 where nothing happened."""
+        """Return all metrics in the text exposition format; each class is listed, if only with 0."""
         lines: list[str] = []
         for name in COUNTS:
             lines.append(f"# TYPE svc_{name} counter")
--- a/rowanrack/core/wheel.py
+++ b/rowanrack/core/wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel: every timer of the sender, on coarse ticks."""
+"""The timer wheel: all timers of the sender, rounded up to ticks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WheelTimer:
-    """One timer on the wheel; cancelling it is free, it is dropped when its tick comes."""
+    """One timer on the wheel; a cancelled one is removed when its tick is reached."""
 
     __slots__ = ("action",)
 
@@ -18,12 +18,12 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
-        """The timer will not fire."""
+        """Keep the timer from firing."""
         self.action = None
 
 
 class TimerWheel:
-    """Timers hashed by tick; only ticks in use take memory, and a heap says which comes next."""
+    """Timers grouped by tick. Only ticks in use take memory; a heap finds the next one."""
 
     def __init__(self, tick_us: int, now_us: int) -> None:
         if tick_us < 1:
@@ -34,7 +34,7 @@
         self._done = now_us // tick_us
 
     def at(self, due_us: int, action: Callable[[], None]) -> WheelTimer:
-        """Fire at the first tick at or after that time, and never at a tick already past."""
+        """Call `action` at the first tick at or after that time, but never at a tick that has passed."""
         tick = max(-(-due_us // self.tick_us), self._done + 1)
         timer = WheelTimer(action)
         if tick not in self._slots:
@@ -44,7 +44,7 @@
         return timer
 
     def advance(self, now_us: int) -> None:
-        """Fire what is due, in the order of ticks."""
+        """Fire all due timers in the order of their ticks."""
         self._done = max(self._done, now_us // self.tick_us)
         while self._ticks and self._ticks[0] <= self._done:
             for timer in self._slots.pop(heapq.heappop(self._ticks)):
@@ -53,11 +53,11 @@
                 try:
                     timer.action()
                 except Exception:
-                    # Guards the timers behind it, and the wheel's next wake-up.
+                    # A failing timer must not stop the other timers or the wheel's next wake-up.
                     log.exception("a timer failed")
 
     def next_at(self) -> int | None:
-        """When the next tick in use comes."""
+        """Return when the next tick with an active timer is due, or None."""
         while self._ticks:
             if any(t.action is not None for t in self._slots[self._ticks[0]]):
                 return self._ticks[0] * self.tick_us
--- a/rowanrack/load/__init__.py
+++ b/rowanrack/load/__init__.py
@@ -1,5 +1,6 @@
-"""What the sender does when its core is full: it measures how late it is, and sheds in the right order.
+"""Overload handling: measures how late the sender runs, and sheds load by priority.
 
-Rules come first (ends in time, notices, waits, drains), then messages already taken, then new ones, then bad
-and silent clients. `load_shedder` decides, and does no I/O; whoever is late or spends time tells it.
+The order of priority is: rules (timely final answers, notices, waits, drains), accepted messages, new
+messages, then invalid and silent clients. `load_shedder` decides without I/O; the event loop, the listeners
+and the exchange report delays and processor time to it.
 """
--- a/rowanrack/load/metered.py
+++ b/rowanrack/load/metered.py
@@ -1,4 +1,4 @@
-"""The processor time that one connection's coroutine uses, step by step."""
+"""Measures the processor time of each step of a connection's coroutine."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class CpuMeteredCoroutine:
-    """Awaits a coroutine and tells the thread's processor time of each of its steps, in microseconds.
+    """Awaits a coroutine and reports the thread's processor time of each step, in microseconds.
 
-    A step is what runs between two waits: what a connection costs the loop, whatever it waits for. By the
-    clock on the wall it would also bear what the machine gave to others, or the process to another thread.
+    A step is the code between two suspensions: the cost of a connection to the event loop, regardless of how
+    long it waits. Wall-clock time would include time that the machine gave to other processes, or the process
+    to another thread.
     """
 
     def __init__(self, inner: Coroutine[Any, Any, None], spent: Callable[[float], None]) -> None:
@@ -35,7 +36,7 @@
                     value = yield awaited
                 except GeneratorExit:
                     raise
-                except BaseException as thrown:  # a cancellation goes on to the coroutine itself
+                except BaseException as thrown:  # a cancellation must reach the inner coroutine
                     error = thrown
         finally:
             inner.close()
--- a/rowanrack/logs.py
+++ b/rowanrack/logs.py
@@ -1,4 +1,4 @@
-"""The program's log: the lines that on-call knows, or the same as JSON."""
+"""Sets up the program's log: plain lines, or JSON."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def set_up(form: str = "plain") -> None:
-    """Write the log to standard error in one of the forms.
+    """Write the log to standard error in one of FORMATS.
 
-    JSON lines have `timestamp` (UTC), `level`, `logger`, `event` and, with a failure, `exception`.
+    JSON lines have `timestamp` (UTC), `level`, `logger`, `event` and, for an exception, `exception`.
     """
     handler = logging.StreamHandler(sys.stderr)
     if form == "json":
-        import structlog  # only where it is asked for: a sender may have 32 MB
+        import structlog  # loaded only if used: a sender may be limited to 32 MB
 
         handler.setFormatter(
             structlog.stdlib.ProcessorFormatter(
--- a/rowanrack/recovery.py
+++ b/rowanrack/recovery.py
@@ -1,4 +1,4 @@
-"""Owed messages that a process finds: those of the one before it, or of the other one at a hot restart."""
+"""Takes over messages that the previous process, or the other one at a hot restart, left unanswered."""
 
 from __future__ import annotations
 
@@ -11,10 +11,13 @@
 
 
 def own(exchange: Exchange, forms: dict[str, CallForm], found: Iterable[Message]) -> None:
-    """Own them all. What came by a front that is not set up any more is still called out in its form."""
+    """Own all these messages.
+
+    A message from an OTLP front end that is no longer configured is still delivered, in the OTLP format.
+    """
     for message in found:
         if message.front == OTLP and OTLP not in forms:
-            from rowanrack.fronts.otlp.calls import OtlpForm  # protobuf: only where it is needed
+            from rowanrack.fronts.otlp.calls import OtlpForm  # loads protobuf only if used
 
             forms[OTLP] = OtlpForm()
         exchange.adopt(message, served=message.front in forms, found=True)
--- a/rowanrack/shutdown.py
+++ b/rowanrack/shutdown.py
@@ -1,7 +1,7 @@
-"""The way a sender ends: its phases, and what the sender does on each step. No I/O, and a clock from outside.
+"""The shutdown sequence: its phases, and the step due at each time. No I/O; the clock is passed in.
 
-A restart gives a sender a time that is counted from SIGTERM: so is everything here, however late the sender
-comes to it. A start that is cut short leaves at once if it has owned nothing yet.
+All times count from SIGTERM, since a restart grants a sender a fixed time from there, however late the sender
+handles the signal. A sender that is still starting exits at once if it owns no messages yet.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Phase(Enum):
-    """What a sender is at, from its start to its end."""
+    """The phases of a sender's life."""
 
-    STARTING = "starting"  # nothing is owned yet: a call of ours can't be out
-    OPENING = "opening"  # what the journal held is owned, and the ports are being opened
+    STARTING = "starting"  # no message is owned yet, and no call can be under way
+    OPENING = "opening"  # the messages in the journal are owned, and the ports are being opened
     SERVING = "serving"
-    STILL_COMING = "still coming"  # told to end; new connections keep coming, and are served
-    DRAINING = "draining"  # the ports are closed, and each connection once it is between requests
-    FROZEN = "frozen"  # no call begins any more; what is out may settle
-    LEFT = "left"  # settled or out of time: what is still owed is the journal's
+    STILL_COMING = "still coming"  # SIGTERM has come; new connections still arrive and are served
+    DRAINING = "draining"  # the ports are closed, and each connection closes once it is between requests
+    FROZEN = "frozen"  # no call begins any more; open ones may settle
+    LEFT = "left"  # settled or out of time; messages without a final answer stay in the journal
 
 
 NEXT: dict[Phase, frozenset[Phase]] = {
@@ -37,34 +37,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Times after SIGTERM, in microseconds."""
+    """Time limits after SIGTERM."""
 
-    still_coming_us: int = 500_000  # new connections keep coming for up to 0.4 s
+    still_coming_us: int = 500_000  # new connections keep arriving for up to 0.4 s
     begin_us: int = 2_000_000  # a call that begins later might be cut off
-    settle_us: int = 3_200_000  # SIGKILL comes no sooner than 3.7 s
-    leave_us: int = 3_600_000  # by which the channels' log must have been let go of,
-    log_end_us: int = 1_000_000  # and the most that may take
-    look_us: int = 20_000  # between looks at whether all is settled
+    settle_us: int = 3_200_000  # SIGKILL comes no sooner than 3.7 s after SIGTERM
+    leave_us: int = 3_600_000  # the channel log must be closed by then
+    log_end_us: int = 1_000_000  # longest time that closing the channel log may take
+    look_us: int = 20_000  # interval at which it is checked whether all is settled
 
 
 class Parts(Protocol):
-    """What the sequence reaches in the sender."""
+    """What the sequence controls in the sender."""
 
     def takes_over(self) -> bool:
-        """Whether the next process of a hot restart goes on with all that is owed."""
+        """Return whether the next process of a hot restart takes over all outstanding messages."""
 
     def drain(self) -> None:
         """Close the clients' ports, and each connection as soon as it is between requests."""
 
     def freeze(self) -> None:
-        """Begin no call any more."""
+        """Begin no more calls."""
 
     def settled(self) -> bool:
-        """Whether nothing is left to wait for."""
+        """Return whether there is nothing left to wait for."""
 
 
 class Shutdown:
-    """The sequence, moved on by `tell` and `advance`; a phase that has passed doesn't come again."""
+    """The shutdown sequence, driven by `tell` and `advance`; no phase is entered a second time."""
 
     def __init__(self, parts: Parts, now_us: Callable[[], int], limits: Limits = Limits()) -> None:
         self.limits = limits
@@ -74,19 +74,19 @@
 
     @property
     def told(self) -> bool:
-        """Whether the sender has been told to end."""
+        """Whether SIGTERM or SIGINT has come."""
         return self._told_us is not None
 
     def owns(self) -> None:
-        """What the journal held is owned from now on."""
+        """Record that the messages in the journal are owned."""
         self._move(Phase.OPENING)
 
     def serves(self) -> None:
-        """The ports are open."""
+        """Record that the ports are open."""
         self._move(Phase.SERVING)
 
     def tell(self) -> None:
-        """SIGTERM or SIGINT has come. Only the first one counts: a second neither hurries nor delays."""
+        """Handle SIGTERM or SIGINT. Only the first signal counts: a second one changes no time."""
         if self._told_us is not None:
             return
         self._told_us = self._now_us()
@@ -94,8 +94,8 @@
             self._move(Phase.LEFT)
 
     def advance(self) -> int:
-        """Do what is due; returns for how long to wait until the next call, or 0 once it has left."""
-        since_us = self._since_us  # read once: between two readings a limit could pass unseen
+        """Take the steps that are due; return the microseconds until the next call, or 0 to exit."""
+        since_us = self._since_us  # read once: a limit could pass unnoticed between two readings
         if self.phase is Phase.SERVING:
             self._begin()
         if self.phase is Phase.STILL_COMING and since_us >= self.limits.still_coming_us:
@@ -114,12 +114,12 @@
         return self.limits.look_us
 
     def log_end_us(self) -> int:
-        """For how long the channels' log may be waited for."""
+        """Return for how long closing the channel log may be waited for."""
         return max(0, min(self.limits.log_end_us, self.limits.leave_us - self._since_us))
 
     @property
     def _since_us(self) -> int:
-        """Since SIGTERM; 0 before it."""
+        """Time since SIGTERM; 0 before it."""
         return 0 if self._told_us is None else self._now_us() - self._told_us
 
     def _begin(self) -> None:
--- a/rowanrack/site_file.py
+++ b/rowanrack/site_file.py
@@ -1,4 +1,4 @@
-"""The operator's TOML file as typed records: what may stand in it, and a plain line for what may not.
+"""The operator's TOML file as typed records, with readable messages for invalid input.
 
 Only senders at small sites read such a file, so only they import this module and msgspec.
 """
@@ -20,11 +20,11 @@
 
 
 class Part(Struct, forbid_unknown_fields=True, kw_only=True):
-    """A table: a key that is not known is a mistake."""
+    """A table in the file; an unknown key is an error."""
 
 
 class Grade(Part):
-    """A class of messages; times in microseconds."""
+    """A message class; times in microseconds."""
 
     name: str
     slo_us: Count
@@ -39,7 +39,7 @@
 
 
 class Extra(Part):
-    """Characteristics of the service."""
+    """Properties of the service."""
 
     slots: Count | None = None
     batch_by_kind: list[Count] = []
@@ -48,7 +48,7 @@
 
 
 class Limits(Part):
-    """What the site permits."""
+    """The limits that the site sets."""
 
     most_held: Count
     try_limit: Count | None = None
@@ -62,7 +62,7 @@
 
 
 class Rules(Part):
-    """Figures of the rules."""
+    """Parameters of the delivery rules."""
 
     ask_within_us: Count | None = None
     answer_slack_us: Whole | None = None
@@ -75,7 +75,7 @@
 
 
 class Tenant(Part):
-    """A member, and the rate up to which its messages count in full."""
+    """A tenant, and the rate up to which its messages count in full."""
 
     name: str
     quota_per_s: Above
@@ -90,14 +90,14 @@
 
 
 class Prices(Part):
-    """What is paid for."""
+    """The prices of messages between senders and of traffic across zones."""
 
     peer: Annotated[float, Meta(ge=0)] | None = None
     cross_zone: Annotated[float, Meta(ge=0)] | None = None
 
 
 class SettingsTable(Part):
-    """The module's settings, under the platform's names."""
+    """The settings of the decision module, under the platform's names."""
 
     grades: Annotated[list[Grade], Meta(min_length=1)]
     limits: Limits
@@ -117,14 +117,14 @@
 
 
 class PlatformTable(Part):
-    """Where the platform's front meets clients and discovery."""
+    """The addresses of the platform's front end and of discovery."""
 
     listen: str
     discovery: str
 
 
 class PeersTable(Part):
-    """Where notes from the others arrive, the addresses that they come from, and that of all of them."""
+    """The address on which gossip notes arrive, the other senders' addresses, and the broadcast address."""
 
     listen: str
     peers: list[str]
@@ -132,7 +132,7 @@
 
 
 class SourceTable(Part):
-    """Where one value of an OTLP request comes from."""
+    """Where one value of an OTLP request comes from: a header, an attribute or a default."""
 
     header: str = ""
     attribute: str = ""
@@ -140,7 +140,7 @@
 
 
 class MapTable(Part):
-    """Where each value comes from."""
+    """Where each value of an OTLP request comes from."""
 
     cls: SourceTable = msgspec.field(default_factory=SourceTable, name="class")
     tenant: SourceTable = msgspec.field(default_factory=SourceTable)
@@ -151,7 +151,7 @@
 
 
 class OtlpTable(Part):
-    """The OTLP front."""
+    """The OTLP front end."""
 
     listen: str
     map: MapTable
@@ -160,7 +160,7 @@
 
 
 class ConsulTable(Part):
-    """Consul's agent, and the services or the tag."""
+    """The Consul agent, and the services to list or their tag."""
 
     address: str
     services: list[str] = []
@@ -168,13 +168,13 @@
 
 
 class ConsoleTable(Part):
-    """The console's socket."""
+    """The socket of the console."""
 
     socket: str
 
 
 class RecordTable(Part):
-    """A recording of what happens, without bodies and ids."""
+    """A recording of what the sender does, without message bodies and ids."""
 
     folder: str
     most_mb: Annotated[float, Meta(ge=1)] = 64.0
@@ -183,15 +183,15 @@
 class ChannelsTable(Part):
     """The event log of each channel, and the other senders that keep one."""
 
-    listen: str  # where the others reach this sender's log
-    sites: dict[str, str] = {}  # the others' names and addresses
+    listen: str  # address at which the other senders reach this log
+    sites: dict[str, str] = {}  # names and addresses of the other senders
     disk_mb: Annotated[float, Meta(ge=1)] = 64.0
     keep_days: Above = 30.0
-    ids: bool = True  # whether events name messages
+    ids: bool = True  # whether events contain message ids
 
 
 class InstanceTable(Part):
-    """An instance of a destination."""
+    """An endpoint of a destination."""
 
     name: str
     address: str
@@ -202,7 +202,7 @@
 
 
 class SiteFile(Part):
-    """The whole file."""
+    """The complete file."""
 
     state: str
     settings: SettingsTable
@@ -217,11 +217,11 @@
     record: RecordTable | None = None
     channels: ChannelsTable | None = None
     instance: list[InstanceTable] = []
-    mgmt: str | None = None  # the operators' address, host:port
+    mgmt: str | None = None  # address of the management server, host:port
 
 
 class SiteFileError(ValueError):
-    """The file cannot be used; the text names line, key, what was expected and what stood there."""
+    """The file is invalid; the text gives the line, the key, what was expected and what was found."""
 
 
 WRONG = re.compile(r"^(?P<what>.*?)(?: - at `\$(?P<path>.*?)`)?$")
@@ -230,7 +230,7 @@
 
 
 def read(path: Path) -> SiteFile:
-    """The file's records. Raises SiteFileError, and OSError where it cannot be read."""
+    """Read the file. Raises SiteFileError if it is invalid, and OSError if it cannot be read."""
     text = path.read_text(encoding="utf-8")
     try:
         doc = tomllib.loads(text)
@@ -243,7 +243,7 @@
 
 
 def explain(said: str, doc: dict[str, Any], text: str) -> str:
-    """msgspec's words as an operator's: the line, the key, what was expected and what stands there."""
+    """Turn an error of msgspec into one line with the line number, the key, and the expected value."""
     found = WRONG.match(said)
     assert found is not None
     what, steps = found["what"], [a or b for a, b in STEP.findall(found["path"] or "")]
@@ -264,7 +264,7 @@
 
 
 def line_of(text: str, steps: list[str]) -> int | None:
-    """The line on which a key stands, as far as tables and arrays of tables tell; None if it is not found."""
+    """Return the line of a key, found by the tables and arrays of tables before it; None if not found."""
     wanted, key = steps[:-1], steps[-1] if steps else ""
     here: list[str] = []
     counts: dict[str, int] = {}
