--- a/benchmarks/loopback.py
+++ b/benchmarks/loopback.py
@@ -193,7 +193,7 @@
     until = time.monotonic() + CALM_S
     while time.monotonic() < until:
         said = log.read_text()
-        if said.count("the core is full") == said.count("the core has room"):
+        if said.count("overload began") == said.count("overload ended"):
             return
         time.sleep(0.1)
 
--- a/rowanrack/app.py
+++ b/rowanrack/app.py
@@ -35,7 +35,7 @@
 from rowanrack.net.peers import PeerPort
 from rowanrack.net.pool import CallForm, EndpointPool
 from rowanrack.net.timing import LoopClock, pause
-from rowanrack.recovery import own
+from rowanrack.recovery import own_recovered
 from rowanrack.shutdown import Phase, Shutdown
 from rowanrack.store.bans import BanFile
 from rowanrack.store.journal import Journal
@@ -49,29 +49,31 @@
 
 log = logging.getLogger(__name__)
 
-PLATFORM_KEEP_US = 1_000_000  # platform clients do not resubmit an id after the message's deadline
-FILES = 40  # descriptors for the journal, the ports, discovery, the console, and connections being closed
-# interval at which a shared journal is checked until the previous process of a hot restart releases it
-SHARED_LOOK_US = 100_000
-# interval at which the journal of a later process is checked, in case that process has died
-DIED_LOOK_US = 1_000_000
-# interval at which the ban file is checked for changes by the other process, and outages are saved
-FOLDER_LOOK_US = 200_000
+PLATFORM_RETENTION_US = 1_000_000  # platform clients do not resubmit an id after the message's deadline
+RESERVED_DESCRIPTOR_COUNT = (
+    40  # descriptors for the journal, the ports, discovery, the console, and connections being closed
+)
+# Interval at which a shared journal is checked until the previous process of a hot restart releases it.
+JOURNAL_RELEASE_CHECK_INTERVAL_US = 100_000
+# Interval at which the journal of a later process is checked, in case that process has died.
+DEAD_PROCESS_CHECK_INTERVAL_US = 1_000_000
+# Interval at which the ban file is checked for changes by the other process, and outages are saved.
+STATE_CHECK_INTERVAL_US = 200_000
 
 
 @dataclass(frozen=True, slots=True)
-class Descriptors:
+class DescriptorBudget:
     """The division of the descriptor limit."""
 
     idle: int  # idle connections to endpoints
     clients: int
 
     @classmethod
-    def of(cls, sockets: int, slots: int) -> Descriptors:
+    def of(cls, sockets: int, slots: int) -> DescriptorBudget:
         """Divide the limit: at most a third for clients' requests, beside silent and idle clients."""
-        spare = sockets - FILES - slots - sockets // 3
-        idle = max(8, min(3 * slots, spare // 2))
-        return cls(idle, sockets - FILES - slots - idle)
+        unreserved = sockets - RESERVED_DESCRIPTOR_COUNT - slots - sockets // 3
+        idle = max(8, min(3 * slots, unreserved // 2))
+        return cls(idle, sockets - RESERVED_DESCRIPTOR_COUNT - slots - idle)
 
 
 class Sender:
@@ -82,19 +84,19 @@
         self.clock = LoopClock(
             lambda: self.exchange.pump(), lambda now, took: self.exchange.load_shedder.record_delay(now, took)
         )
-        keep = {PLATFORM: PLATFORM_KEEP_US}
+        retention_us = {PLATFORM: PLATFORM_RETENTION_US}
         self.journal = Journal(
             config.state,
             config.disk_bytes,
             self.clock.unix_us,
-            keep_us_of=keep,
+            keep_us_of=retention_us,
             attempts=config.settings.try_limit,
         )
         self.exchange = Exchange(config.settings, config.seed, self.clock, self.journal, config.tick_us)
         self.forms: dict[str, CallForm] = {PLATFORM: InboxForm(config.settings.reports)}
-        self.room = Descriptors.of(config.sockets, config.settings.slots)
-        self.pool = EndpointPool(self.exchange, self.forms, self.room.idle)
-        self.exchange.side = self.pool
+        self.descriptor_budget = DescriptorBudget.of(config.sockets, config.settings.slots)
+        self.pool = EndpointPool(self.exchange, self.forms, self.descriptor_budget.idle)
+        self.exchange.endpoint_calls = self.pool
         self.fronts: list[tuple[Listener, tuple[str, int]]] = []
         self.watch: DiscoveryWatch | None = None
         self.consul: ConsulSource | None = None
@@ -104,16 +106,16 @@
         self.recorder: Recorder | None = None
         self.bans = BanFile(config.state)
         self.outages = OutageFile(config.state)
-        # ban changes in force but not on disk yet: True for a ban, False for a lifted one
-        self.unkept: dict[str, bool] = {}
+        # Ban changes in force but not on disk yet: True for a ban, False for a lifted one.
+        self.unwritten_bans: dict[str, bool] = {}
         self.mgmt: ManagementServer | None = None
         self.peers: PeerPort | None = None
         self.channels: ChannelPart | None = None
         self.lame = False
-        self.told = asyncio.Event()  # set on SIGTERM or SIGINT
+        self.stop_requested = asyncio.Event()  # set on SIGTERM or SIGINT
         self._started = False
-        # a reload that SIGHUP requested before the start was complete
-        self._load_asked: Callable[[], Config] | None = None
+        # A reload that SIGHUP requested before the start was complete.
+        self._pending_reload: Callable[[], Config] | None = None
         self.shutdown = Shutdown(self, self.clock.now_us)
 
     # Interface for the management server.
@@ -124,7 +126,7 @@
 
     def unready(self) -> str:
         """Return in one line why this process does not serve, or an empty string if it does."""
-        if self.shutdown.told:
+        if self.shutdown.requested:
             return "leaving"
         if self.shutdown.phase is not Phase.SERVING:
             return "starting"
@@ -142,49 +144,51 @@
 
     def detach(self, name: str) -> bool:
         """Send nothing new to an endpoint, also after a restart; return False if it is unknown."""
-        return self._changed_ban(name, True)
+        return self._change_ban(name, True)
 
     def attach(self, name: str) -> bool:
         """Use an endpoint again, starting cold; return False if it was not detached."""
-        return self._changed_ban(name, False)
+        return self._change_ban(name, False)
 
-    def _changed_ban(self, name: str, banned: bool) -> bool:
+    def _change_ban(self, name: str, banned: bool) -> bool:
         """Change a ban, and write the bans for the next restart and the other process.
 
         The bans on disk are read first. Raises NotKeptError if they cannot be written: the change is in force
         all the same, and is written once there is room.
         """
-        self._take_bans()
+        self._read_bans()
         if not (self.exchange.detach if banned else self.exchange.attach)(name):
             return False
         log.info("mgmt: %s is %s", name, "detached" if banned else "attached again")
         if self.channels is not None:
             self.channels.change(name, banned)
-        self.unkept[name] = banned
-        if why := self._keep_bans():
-            log.error("mgmt: detached endpoints are not written, and kept in memory until they are: %s", why)
-            raise NotKeptError(why)
+        self.unwritten_bans[name] = banned
+        if reason := self._write_bans():
+            log.error(
+                "mgmt: cannot write the list of detached endpoints, will retry; it is in force: %s", reason
+            )
+            raise NotKeptError(reason)
         return True
 
-    def _keep_bans(self) -> str:
+    def _write_bans(self) -> str:
         """Write the bans; return the reason if that failed, or an empty string."""
         try:
             self.bans.write(self.exchange.bans)
         except OSError as error:
             return error.strerror or str(error)
-        self.unkept.clear()
+        self.unwritten_bans.clear()
         return ""
 
-    def _fleet_bans(self, named: set[str], detached: set[str]) -> None:
+    def _apply_fleet_bans(self, named: set[str], detached: set[str]) -> None:
         """Apply the detachments and attachments of the whole fleet to all endpoints that it names."""
         for name in sorted(named):
             if (banned := name in detached) is (name in self.exchange.bans):
                 continue
             (self.exchange.ban if banned else self.exchange.attach)(name)
-            self.unkept[name] = banned
+            self.unwritten_bans[name] = banned
             log.info("channels: %s is %s by an operator", name, "detached" if banned else "attached again")
-        if self.unkept and (why := self._keep_bans()):
-            log.error("channels: detached endpoints are not written yet: %s", why)
+        if self.unwritten_bans and (reason := self._write_bans()):
+            log.error("channels: cannot write the list of detached endpoints, will retry: %s", reason)
 
     def log_of_channels(self) -> ChannelPart | None:
         """Return the channel log, or None if it is not configured."""
@@ -198,42 +202,42 @@
         for front, _ in self.fronts:
             front.lameduck(on)
 
-    def _take_bans(self) -> None:
+    def _read_bans(self) -> None:
         """Apply the bans from the file if the other process has changed it."""
         if (bans := self.bans.changed()) is None:
             return
-        for name, banned in self.unkept.items():
+        for name, banned in self.unwritten_bans.items():
             (bans.add if banned else bans.discard)(name)
         for name in sorted(self.exchange.bans - bans):
             self.exchange.attach(name)
         for name in sorted(bans - self.exchange.bans):
             self.exchange.ban(name)
 
-    async def _watch_folder(self) -> None:
+    async def _watch_state_folder(self) -> None:
         """Follow the other process's bans, and save the known outages."""
         while True:
-            await pause(self.exchange.after, FOLDER_LOOK_US)
+            await pause(self.exchange.after, STATE_CHECK_INTERVAL_US)
             self.outages.keep(self.exchange.outages(), self.clock.now_us())
-            self._take_bans()
-            if self.unkept and not self._keep_bans():
-                log.info("mgmt: detached endpoints are written again")
+            self._read_bans()
+            if self.unwritten_bans and not self._write_bans():
+                log.info("mgmt: the list of detached endpoints has been written")
 
-    async def _take_over(self) -> None:
+    async def _take_over_journals(self) -> None:
         """Own the previous process's messages once it releases its journal.
 
         Afterwards, also own those of any process that dies while running beside this one: nothing else would
         find them before a restart.
         """
-        while (taken := self.journal.absorb()) is None:
-            await pause(self.exchange.after, SHARED_LOOK_US)
-        self._owned(taken)
+        while (recovered := self.journal.absorb()) is None:
+            await pause(self.exchange.after, JOURNAL_RELEASE_CHECK_INTERVAL_US)
+        self._own_recovered(recovered)
         while True:
-            await pause(self.exchange.after, DIED_LOOK_US)
-            if self.journal.other_path.exists() and (taken := self.journal.absorb()) is not None:
-                self._owned(taken)
+            await pause(self.exchange.after, DEAD_PROCESS_CHECK_INTERVAL_US)
+            if self.journal.other_path.exists() and (recovered := self.journal.absorb()) is not None:
+                self._own_recovered(recovered)
 
-    def _owned(self, taken: list[Message]) -> None:
-        own(self.exchange, self.forms, taken)
+    def _own_recovered(self, recovered: list[Message]) -> None:
+        own_recovered(self.exchange, self.forms, recovered)
         if self.notices is not None:
             for message_id in self.journal.absorbed:
                 ended = self.journal.ends.get(message_id)
@@ -245,10 +249,10 @@
     async def start(self) -> None:
         """Replay the journal, own its outstanding messages, and open the ports."""
         self.journal.open()
-        self._take_bans()
+        self._read_bans()
         if self.config.record is not None:
             self._start_recorder(self.config.record)
-        owed = list(self.journal.owed.values())
+        outstanding = list(self.journal.owed.values())
         if self.config.platform is not None:
             self._start_platform(self.config.platform)
         if self.config.otlp is not None:
@@ -260,11 +264,11 @@
         if self.config.instances:
             self.exchange.list_instances(UpdateScope.FULL, self.config.instances, "file")
         if self.watch is not None and self.config.platform is not None and self.config.platform.pushed:
-            # before anything is sent, because a pushed list counts as known from the start
+            # Before anything is sent, because a pushed list counts as known from the start.
             await self.watch.first()
-        self.exchange.recall(self.outages.read(self.clock.now_us(), self.config.settings.ramp_us))
-        self.shutdown.owns()
-        own(self.exchange, self.forms, owed)
+        self.exchange.restore_outages(self.outages.read(self.clock.now_us(), self.config.settings.ramp_us))
+        self.shutdown.mark_messages_owned()
+        own_recovered(self.exchange, self.forms, outstanding)
         self.exchange.pump()
         for front, (host, port) in self.fronts:
             try:
@@ -279,12 +283,12 @@
             except OSError as error:
                 raise ConfigError(f"cannot listen on {host}:{port}: {error.strerror or error}") from None
         self._tasks = [
-            asyncio.ensure_future(self._take_over()),
-            asyncio.ensure_future(self._watch_folder()),
+            asyncio.ensure_future(self._take_over_journals()),
+            asyncio.ensure_future(self._watch_state_folder()),
         ]
         if self.config.channels is not None:
             self._start_channels(self.config.channels)
-        self.shutdown.serves()
+        self.shutdown.mark_ports_open()
         if self.config.console is not None:
             self.console = ConsoleServer(self.config.name, self.exchange)
             try:
@@ -292,17 +296,17 @@
             except OSError as error:
                 where = self.config.console
                 raise ConfigError(f"cannot open {where}: {error.strerror or error}") from None
-        log.info("%s: serving; %d messages owed from before", self.config.name, len(owed))
+        log.info("%s: serving; %d messages recovered from the journal", self.config.name, len(outstanding))
 
     @property
-    def _clients_most(self) -> int:
+    def _max_client_descriptors(self) -> int:
         """Descriptors for the clients of one front end."""
         fronts = (self.config.platform is not None) + (self.config.otlp is not None)
-        return max(16, self.room.clients // max(1, fronts))
+        return max(16, self.descriptor_budget.clients // max(1, fronts))
 
     def _start_platform(self, platform: PlatformConfig) -> None:
         exchange = self.exchange
-        self.fronts.append((PlatformClients(exchange, self._clients_most), platform.listen))
+        self.fronts.append((PlatformClients(exchange, self._max_client_descriptors), platform.listen))
         self.watch = DiscoveryWatch(exchange, *platform.discovery, platform.seq, platform.pushed)
         exchange.watch = self.watch.watch
         notices = self.notices = Notices(*platform.discovery, exchange.after, self.journal.told)
@@ -321,14 +325,16 @@
             port.open()
         except OSError as error:
             # The guarantees to clients do not depend on gossip: without it the sender serves as before.
-            log.warning("notes: none: cannot listen on %s:%d: %s", *peers.listen, error.strerror or error)
+            log.warning(
+                "gossip is disabled: cannot listen on %s:%d: %s", *peers.listen, error.strerror or error
+            )
             return
-        self.peers, exchange.tell = port, port.tell
+        self.peers, exchange.broadcast_note = port, port.tell
 
     def _start_channels(self, channels: ChannelsConfig) -> None:
         from rowanrack.channels_io.part import ChannelPart  # loads sqlite3, msgspec and blake3 only if used
 
-        config, bans = self.config, self._fleet_bans
+        config, bans = self.config, self._apply_fleet_bans
         part = ChannelPart(channels, config.name, config.state, self.exchange, config.seed, bans)
         part.start()
         self.channels = part
@@ -344,27 +350,28 @@
         from rowanrack.fronts.otlp.calls import OtlpForm
         from rowanrack.fronts.otlp.clients import OtlpClients
 
-        server = OtlpClients(self.exchange, otlp.mapping, otlp.body_limit, self._clients_most)
+        server = OtlpClients(self.exchange, otlp.mapping, otlp.body_limit, self._max_client_descriptors)
         self.otlp = server
         self.fronts.append((server, otlp.listen))
         self.exchange.listeners[OTLP] = server.ended
         self.forms[OTLP] = OtlpForm()
 
-    def ask_to_load(self, load: Callable[[], Config]) -> None:
+    def request_reload(self, load: Callable[[], Config]) -> None:
         """Handle SIGHUP: reload now, also during shutdown, or once the start is complete."""
         if self._started:
-            self.load_again(load)
+            self.reload_from(load)
         else:
-            self._load_asked = load
+            self._pending_reload = load
 
-    def load_again(self, load: Callable[[], Config]) -> None:
+    def reload_from(self, load: Callable[[], Config]) -> None:
         """Load the configuration and apply it; if it is invalid, the old one stays in force."""
         try:
             self.reload(load())
         except ConfigError as error:
             log.error("reload: the old configuration stays: %s", error)
         except Exception:
-            log.exception("reload: failed")  # a defect in the reload must not end the sender
+            # A defect in the reload must not end the sender.
+            log.exception("reload: failed with an internal error")
 
     def reload(self, new: Config) -> None:
         """Apply the parts of a configuration that can be reloaded (see `needs_restart`).
@@ -373,14 +380,14 @@
         """
         old = self.config
         for key in needs_restart(old, new):
-            log.warning("reload: %s has changed, which needs a restart", key)
+            log.warning("reload: %s has changed; a restart is needed to apply it", key)
         if old.platform is not None and new.platform is not None:
             if old.platform.discovery != new.platform.discovery:
                 log.info("reload: discovery is now at %s:%d", *new.platform.discovery)
                 # The watch and the notices use the same address, so both move.
-                for mover in (self.watch, self.notices):
-                    if mover is not None:
-                        mover.move(*new.platform.discovery)
+                for client in (self.watch, self.notices):
+                    if client is not None:
+                        client.move(*new.platform.discovery)
             platform = replace(old.platform, discovery=new.platform.discovery)
             self.config = replace(self.config, platform=platform)
         if self.otlp is not None and old.otlp is not None and new.otlp is not None:
@@ -389,26 +396,26 @@
         if old.instances != new.instances:
             self.exchange.list_instances(UpdateScope.FULL, new.instances, "file")
             self.config = replace(self.config, instances=new.instances)
-        log.info("reload: the configuration is taken over")
+        log.info("reload: the new configuration is in force")
 
-    def tell_to_end(self) -> None:
+    def request_stop(self) -> None:
         """Handle SIGTERM or SIGINT."""
-        self.shutdown.tell()
-        self.told.set()
+        self.shutdown.request()
+        self.stop_requested.set()
 
     async def run(self) -> None:
         """Start, serve until SIGTERM or SIGINT, and shut down."""
         starting = asyncio.ensure_future(self.start())
-        told = asyncio.ensure_future(self.told.wait())
+        told = asyncio.ensure_future(self.stop_requested.wait())
         try:
             await asyncio.wait({starting, told}, return_when=asyncio.FIRST_COMPLETED)
-            if self.shutdown.phase is Phase.LEFT:
-                log.info("stopped: told to end before anything was owned")
+            if self.shutdown.phase is Phase.EXITED:
+                log.info("stopped: told to stop before any message was owned")
                 return
             await starting
             self._started = True
-            if self._load_asked is not None:
-                self.load_again(self._load_asked)
+            if self._pending_reload is not None:
+                self.reload_from(self._pending_reload)
             await told
         finally:
             starting.cancel()
@@ -421,24 +428,24 @@
             "stopping: %d messages owed, %d calls out%s",
             len(self.exchange.messages),
             len(self.pool.tasks),
-            "; the next process serves beside this one" if self.journal.shared() else "",
+            "; the next process is already serving" if self.journal.shared() else "",
         )
         while wait_us := self.shutdown.advance():
             await pause(self.exchange.after, wait_us)
         if self.channels is not None:
-            await self.channels.end(self.shutdown.log_end_us() / 1e6)
+            await self.channels.end(self.shutdown.log_close_timeout_us() / 1e6)
         clients = sum(len(front.streams) for front, _ in self.fronts)
         log.info(
             "stopped: %d messages stay owed; %d calls out, %d client connections, notices %s",
             len(self.exchange.messages),
             len(self.pool.tasks),
             clients,
-            "told" if self._all_told() else "pending",
+            "told" if self._notices_sent() else "pending",
         )
 
     # Interface for the shutdown sequence.
 
-    def takes_over(self) -> bool:
+    def successor_takes_over(self) -> bool:
         """Return whether the next process of a hot restart takes over all outstanding messages.
 
         Not with OTLP: its clients wait on their connections for the final answer.
@@ -456,11 +463,11 @@
 
     def settled(self) -> bool:
         """Return whether no call can begin or is open, all notices are sent, and all clients have left."""
-        owed = not self.exchange.frozen and bool(self.exchange.messages)
+        outstanding = not self.exchange.frozen and bool(self.exchange.messages)
         clients = any(not front.gone for front, _ in self.fronts)
-        return not (owed or self.pool.tasks or clients) and self._all_told()
+        return not (outstanding or self.pool.tasks or clients) and self._notices_sent()
 
-    def _all_told(self) -> bool:
+    def _notices_sent(self) -> bool:
         return self.notices is None or not self.notices.pending
 
     def close(self) -> None:
@@ -493,9 +500,9 @@
     loop = asyncio.get_running_loop()
     # Installed before the configuration is read: the handler of an early signal runs in the loop's first
     # iteration.
-    loop.add_signal_handler(signal.SIGHUP, lambda: sender.ask_to_load(load))
+    loop.add_signal_handler(signal.SIGHUP, lambda: sender.request_reload(load))
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, lambda: sender.tell_to_end())
+        loop.add_signal_handler(number, lambda: sender.request_stop())
     sender = Sender(load())
     try:
         await sender.run()
--- a/rowanrack/config.py
+++ b/rowanrack/config.py
@@ -24,12 +24,12 @@
 # Where lists are pushed, whatever discovery's agent receives counts as known at once. A failed watch is
 # repeated after a quarter of the polling time, with a jitter of a quarter; with this factor the repeat comes
 # within half of the drain grace.
-PUSHED_WITHIN_GRACES = 1.6
-DRAIN_GRACE_US = 250_000  # used if the settings contain none
+PUSHED_POLL_FACTOR = 1.6
+DEFAULT_DRAIN_GRACE_US = 250_000  # used if the settings contain none
 
-TICK_US = 5_000  # timer resolution
-DISK_MB = 3.0  # space for the journal
-SOCKETS = 1024  # limit on descriptors
+DEFAULT_TICK_US = 5_000  # timer resolution
+DEFAULT_DISK_MB = 3.0  # space for the journal
+DEFAULT_SOCKET_COUNT = 1024  # limit on descriptors
 
 
 class ConfigError(Exception):
@@ -54,7 +54,7 @@
     seq: int
     known: tuple[Endpoint, ...]
     peers: PeersConfig | None = None
-    # whether discovery's lists count as known from the start, even if they were not requested
+    # Whether discovery's lists count as known from the start, even if they were not requested.
     pushed: bool = False
 
 
@@ -145,28 +145,28 @@
     )
     changed = [key for key in fixed if getattr(old, key) != getattr(new, key)]
     for front in ("platform", "otlp"):
-        was, wanted = getattr(old, front), getattr(new, front)
-        if (was and was.listen) != (wanted and wanted.listen):
+        old_front, new_front = getattr(old, front), getattr(new, front)
+        if (old_front and old_front.listen) != (new_front and new_front.listen):
             changed.append(f"{front}.listen")
     if old.otlp is not None and new.otlp is not None and old.otlp.body_limit != new.otlp.body_limit:
         changed.append("otlp.body_limit")
     return changed
 
 
-def load(path: Path, parse: Callable[[str], Any], form: str) -> dict[str, Any]:
+def load_document(path: Path, parse: Callable[[str], Any], format_name: str) -> dict[str, Any]:
     """Parse a file, and return its top-level object."""
     try:
         doc = parse(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: no {form}: {error}") from None
+        raise ConfigError(f"{path}: invalid {format_name}: {error}") from None
     if not isinstance(doc, dict):
-        raise ConfigError(f"{path}: not a {form} object")
+        raise ConfigError(f"{path}: not a {format_name} object")
     return doc
 
 
-def given(doc: Mapping[str, Any], key: str, default: Any) -> Any:
+def value_or_default(doc: Mapping[str, Any], key: str, default: Any) -> Any:
     """Return a key's value, or the default if the key is absent or null."""
     value = doc.get(key)
     return default if value is None else value
@@ -176,7 +176,7 @@
     """Read the configuration of a sender on the platform from its environment."""
     if not env.get("ROUTER_CONFIG"):
         raise ConfigError("ROUTER_CONFIG is not set")
-    doc = load(Path(env["ROUTER_CONFIG"]), json.loads, "JSON")
+    doc = load_document(Path(env["ROUTER_CONFIG"]), json.loads, "JSON")
     state = env.get("ROUTER_STATE")
     if not state or not Path(state).is_dir():
         raise ConfigError("ROUTER_STATE is not a folder")
@@ -185,19 +185,21 @@
         settings = parse_settings(json.dumps(raw))
         # Such a sender also reads the lists through a watch; only the required polling time differs.
         if pushed := not settings.on_request:
-            grace_us = given(given(raw, "rules", {}), "drain_grace_us", DRAIN_GRACE_US)
-            within_us = min(settings.ask_within_us, max(1, int(PUSHED_WITHIN_GRACES * grace_us)))
-            settings = replace(settings, on_request=True, ask_within_us=within_us)
+            grace_us = value_or_default(
+                value_or_default(raw, "rules", {}), "drain_grace_us", DEFAULT_DRAIN_GRACE_US
+            )
+            poll_within_us = min(settings.ask_within_us, max(1, int(PUSHED_POLL_FACTOR * grace_us)))
+            settings = replace(settings, on_request=True, ask_within_us=poll_within_us)
         seq, _, known = parse_list(doc["known"])
-        limits = given(doc, "limits", {})
+        limits = value_or_default(doc, "limits", {})
         return Config(
             name=str(env.get("ROUTER_NAME") or doc["name"]),
             settings=settings,
-            tick_us=int(given(raw, "resolution_us", TICK_US)),
-            seed=int(str(given(doc, "seed", "0")), 16),
+            tick_us=int(value_or_default(raw, "resolution_us", DEFAULT_TICK_US)),
+            seed=int(str(value_or_default(doc, "seed", "0")), 16),
             state=Path(state),
-            disk_bytes=int(float(given(limits, "disk_mb", DISK_MB)) * 1_000_000),
-            sockets=int(given(limits, "sockets", SOCKETS)),
+            disk_bytes=int(float(value_or_default(limits, "disk_mb", DEFAULT_DISK_MB)) * 1_000_000),
+            sockets=int(value_or_default(limits, "sockets", DEFAULT_SOCKET_COUNT)),
             platform=PlatformConfig(
                 parse_address(env.get("ROUTER_LISTEN") or doc["listen"]),
                 # The file takes precedence: it may have been replaced after the environment was set.
@@ -212,15 +214,15 @@
     except (WireError, ListError) as error:
         raise ConfigError(f"{env['ROUTER_CONFIG']}: {error}") from None
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise ConfigError(f"{env['ROUTER_CONFIG']}: bad or missing {error}") from None
+        raise ConfigError(f"{env['ROUTER_CONFIG']}: invalid or missing value: {error}") from None
 
 
 def operator_config(path: Path) -> Config:
     """Read the configuration of a sender at a small site from the operator's TOML file."""
-    from rowanrack.site_file import SiteFileError, read  # loads msgspec only if used
+    from rowanrack.site_file import SiteFileError, read_site_file  # loads msgspec only if used
 
     try:
-        site: SiteFile = read(path)
+        site: SiteFile = read_site_file(path)
         state = Path(site.state)
         if not state.is_dir():
             raise ValueError(f"state: {state} is not a folder")
@@ -242,7 +244,7 @@
             console=Path(site.console.socket) if site.console is not None else None,
             record=_record(site),
             channels=_channels(site),
-            instances=tuple(map(_instance, site.instance)),
+            instances=tuple(map(_to_endpoint, site.instance)),
             mgmt=parse_address(site.mgmt) if site.mgmt else None,
         )
     except OSError as error:
@@ -264,19 +266,23 @@
 def _platform(site: SiteFile, settings: Settings) -> PlatformConfig | None:
     if site.platform is None:
         if site.peers is not None:
-            raise ValueError("peers: senders tell each other something only where there is a [platform]")
+            raise ValueError("peers: gossip between senders requires a [platform] table")
         return None
     listen, discovery = site.platform.listen, site.platform.discovery
-    told = site.peers
-    doc = {} if told is None else {"peer_listen": told.listen, "peers": told.peers, "peers_all": told.all_at}
+    peers_table = site.peers
+    doc = (
+        {}
+        if peers_table is None
+        else {"peer_listen": peers_table.listen, "peers": peers_table.peers, "peers_all": peers_table.all_at}
+    )
     return PlatformConfig(parse_address(listen), parse_address(discovery), 0, (), _peers(doc, settings))
 
 
 def _otlp(site: SiteFile) -> OtlpConfig | None:
     if (otlp := site.otlp) is None:
         return None
-    given = otlp.map
-    sources = (given.cls, given.tenant, given.destination, given.id, given.left_ms, given.key)
+    mapped = otlp.map
+    sources = (mapped.cls, mapped.tenant, mapped.destination, mapped.id, mapped.left_ms, mapped.key)
     cls, tenant, dest, message_id, left_ms, key = (Source(s.header, s.attribute, s.default) for s in sources)
     mapping = RequestMap(cls, tenant, dest, message_id, left_ms, key, otlp.destinations)
     return OtlpConfig(parse_address(otlp.listen), otlp.body_limit, mapping)
@@ -297,18 +303,24 @@
 
 
 def _channels(site: SiteFile) -> ChannelsConfig | None:
-    if (given := site.channels) is None:
+    if (channels := site.channels) is None:
         return None
-    if site.name in given.sites:
+    if site.name in channels.sites:
         raise ValueError(f"channels.sites: {site.name} is this sender itself")
     sites: dict[str, tuple[str, int]] = {}
-    for name, address in given.sites.items():
+    for name, address in channels.sites.items():
         if not HEADER_SAFE.fullmatch(name) or "/" in name:
-            raise ValueError(f"channels.sites: {name!r} is no name: printable, without blanks and slashes")
+            raise ValueError(
+                f"channels.sites: {name!r} is not a valid name: no spaces, slashes or control characters"
+            )
         sites[name] = _address(f"channels.sites.{name}", address)
-    listen = _address("channels.listen", given.listen)
+    listen = _address("channels.listen", channels.listen)
     return ChannelsConfig(
-        listen, sites, int(given.disk_mb * 1_000_000), int(given.keep_days * 86_400_000_000), given.ids
+        listen,
+        sites,
+        int(channels.disk_mb * 1_000_000),
+        int(channels.keep_days * 86_400_000_000),
+        channels.ids,
     )
 
 
@@ -319,8 +331,8 @@
         raise ValueError(f"{key}: {error}") from None
 
 
-def _instance(given: InstanceTable) -> Endpoint:
-    host, port = parse_address(given.address)
+def _to_endpoint(table: InstanceTable) -> Endpoint:
+    host, port = parse_address(table.address)
     return Endpoint(
-        given.name, host, port, given.zone, given.kind, given.dest, EndpointStatus.LISTED, given.rate
+        table.name, host, port, table.zone, table.kind, table.dest, EndpointStatus.LISTED, table.rate
     )
--- a/rowanrack/core/endpoint_list.py
+++ b/rowanrack/core/endpoint_list.py
@@ -8,19 +8,19 @@
 from rowanrack.core.messages import Endpoint
 from rowanspindle import EndpointListUpdate, EndpointStatus, UpdateScope
 
-# how long a destination stays known after its last endpoint is removed: its next one may be listed late
-KEPT_US = 60_000_000
+# How long a destination stays known after its last endpoint is removed: its next one may be listed late.
+DESTINATION_MEMORY_US = 60_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListChange:
     """The effect of a list update: the update for the decision module, and the endpoints that it affects."""
 
-    members: EndpointListUpdate
-    news: tuple[Endpoint, ...] = ()  # the changed endpoints in their current state, removed ones included
-    # endpoints that take no new calls: draining, removed, or moved to another destination or address
-    closed: tuple[str, ...] = ()
-    gone: tuple[str, ...] = ()
+    update: EndpointListUpdate
+    changed: tuple[Endpoint, ...] = ()  # the changed endpoints in their current state, removed ones included
+    # Endpoints that take no new calls: draining, removed, or moved to another destination or address.
+    closed_to_calls: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
 
 
 class EndpointList:
@@ -33,101 +33,109 @@
 
     def __init__(self) -> None:
         self.bans: set[str] = set()  # endpoints that an operator has detached
-        self._instances: dict[str, Endpoint] = {}
-        # by name, then by source, the most recent source last
-        self._given: dict[str, dict[str, Endpoint]] = {}
-        self._sources: dict[str, set[str]] = {}
-        self._counts: dict[int, int] = {}  # number of endpoints of each destination that has any
-        self._emptied: dict[int, int] = {}  # when each destination lost its last endpoint, in order of time
+        self._endpoints: dict[str, Endpoint] = {}
+        # By name, then by source, the most recent source last.
+        self._listed_by_source: dict[str, dict[str, Endpoint]] = {}
+        self._names_by_source: dict[str, set[str]] = {}
+        self._endpoint_counts: dict[int, int] = {}  # number of endpoints of each destination that has any
+        self._emptied_at: dict[
+            int, int
+        ] = {}  # when each destination lost its last endpoint, in order of time
 
     def update(
-        self, scope: UpdateScope, instances: Iterable[Endpoint], source: str = "", now_us: int = 0
+        self, scope: UpdateScope, endpoints: Iterable[Endpoint], source: str = "", now_us: int = 0
     ) -> EndpointListChange:
         """Apply an update from one source, and return its effect."""
-        news, named = list(instances), self._sources.setdefault(source, set())
+        changed, source_names = list(endpoints), self._names_by_source.setdefault(source, set())
         if scope is UpdateScope.FULL:
-            missing = named - {i.name for i in news}
-            news += [replace(self._given[n][source], status=EndpointStatus.REMOVED) for n in sorted(missing)]
+            unlisted = source_names - {i.name for i in changed}
+            changed += [
+                replace(self._listed_by_source[n][source], status=EndpointStatus.REMOVED)
+                for n in sorted(unlisted)
+            ]
             scope = UpdateScope.DELTA
-        shown = []
-        for instance in news:
-            given = self._given.setdefault(instance.name, {})
-            given.pop(source, None)
-            if instance.status is not EndpointStatus.REMOVED:
-                given[source] = instance
-                named.add(instance.name)
+        current = []
+        for endpoint in changed:
+            by_source = self._listed_by_source.setdefault(endpoint.name, {})
+            by_source.pop(source, None)
+            if endpoint.status is not EndpointStatus.REMOVED:
+                by_source[source] = endpoint
+                source_names.add(endpoint.name)
             else:
-                named.discard(instance.name)
-            shown.append(self.given(instance.name) or instance)
-            if not given:
-                del self._given[instance.name]
-        return self.show(shown, now_us, scope)
+                source_names.discard(endpoint.name)
+            current.append(self.as_listed(endpoint.name) or endpoint)
+            if not by_source:
+                del self._listed_by_source[endpoint.name]
+        return self.set_state(current, now_us, scope)
 
-    def given(self, name: str) -> Endpoint | None:
+    def as_listed(self, name: str) -> Endpoint | None:
         """Return an endpoint as the most recent source lists it, whether detached or not."""
-        given = self._given.get(name)
-        return given[next(reversed(given))] if given else None
+        by_source = self._listed_by_source.get(name)
+        return by_source[next(reversed(by_source))] if by_source else None
 
-    def show(
-        self, news: Iterable[Endpoint], now_us: int, scope: UpdateScope = UpdateScope.DELTA
+    def set_state(
+        self, changed: Iterable[Endpoint], now_us: int, scope: UpdateScope = UpdateScope.DELTA
     ) -> EndpointListChange:
         """Set these endpoints to the given state, whatever the sources list."""
-        shown, closed, gone = [self._banned(i) for i in news], list[str](), list[str]()
-        for instance in shown:
-            if (old := self._instances.get(instance.name)) is not None:
-                self._count(old.dest, -1, now_us)
-            if instance.status is EndpointStatus.REMOVED:
-                self._instances.pop(instance.name, None)
-                gone.append(instance.name)
+        current, closed_to_calls, removed = [self._with_ban(i) for i in changed], list[str](), list[str]()
+        for endpoint in current:
+            if (old := self._endpoints.get(endpoint.name)) is not None:
+                self._add_to_count(old.dest, -1, now_us)
+            if endpoint.status is EndpointStatus.REMOVED:
+                self._endpoints.pop(endpoint.name, None)
+                removed.append(endpoint.name)
             else:
-                self._instances[instance.name] = instance
-                self._count(instance.dest, 1, now_us)
-            if instance.status is not EndpointStatus.LISTED or (
-                old is not None and _place(old) != _place(instance)
+                self._endpoints[endpoint.name] = endpoint
+                self._add_to_count(endpoint.dest, 1, now_us)
+            if endpoint.status is not EndpointStatus.LISTED or (
+                old is not None and _call_target(old) != _call_target(endpoint)
             ):
-                closed.append(instance.name)
-        members = EndpointListUpdate(scope, tuple(i.to_entry() for i in shown))
-        return EndpointListChange(members, tuple(shown), tuple(closed), tuple(gone))
-
-    def _banned(self, instance: Endpoint) -> Endpoint:
-        if instance.name in self.bans and instance.status is EndpointStatus.LISTED:
-            return replace(instance, status=EndpointStatus.DRAINING)
-        return instance
-
-    def _count(self, dest: int, more: int, now_us: int) -> None:
-        self._emptied.pop(dest, None)
-        self._counts[dest] = self._counts.get(dest, 0) + more
-        if self._counts[dest] == 0:
-            del self._counts[dest]
-            self._emptied[dest] = now_us
-            while self._emptied and now_us - (oldest := next(iter(self._emptied.items())))[1] > KEPT_US:
-                del self._emptied[oldest[0]]
-
-    def knows(self, dest: int, now_us: int) -> bool:
-        """Return whether a destination has an endpoint, or had one within the last KEPT_US."""
-        if dest in self._counts:
+                closed_to_calls.append(endpoint.name)
+        update = EndpointListUpdate(scope, tuple(i.to_entry() for i in current))
+        return EndpointListChange(update, tuple(current), tuple(closed_to_calls), tuple(removed))
+
+    def _with_ban(self, endpoint: Endpoint) -> Endpoint:
+        if endpoint.name in self.bans and endpoint.status is EndpointStatus.LISTED:
+            return replace(endpoint, status=EndpointStatus.DRAINING)
+        return endpoint
+
+    def _add_to_count(self, dest: int, change: int, now_us: int) -> None:
+        self._emptied_at.pop(dest, None)
+        self._endpoint_counts[dest] = self._endpoint_counts.get(dest, 0) + change
+        if self._endpoint_counts[dest] == 0:
+            del self._endpoint_counts[dest]
+            self._emptied_at[dest] = now_us
+            while (
+                self._emptied_at
+                and now_us - (oldest := next(iter(self._emptied_at.items())))[1] > DESTINATION_MEMORY_US
+            ):
+                del self._emptied_at[oldest[0]]
+
+    def knows_destination(self, dest: int, now_us: int) -> bool:
+        """Return whether a destination has an endpoint, or had one within the last DESTINATION_MEMORY_US."""
+        if dest in self._endpoint_counts:
             return True
-        emptied_at = self._emptied.get(dest)
-        return emptied_at is not None and now_us - emptied_at <= KEPT_US
+        emptied_at = self._emptied_at.get(dest)
+        return emptied_at is not None and now_us - emptied_at <= DESTINATION_MEMORY_US
 
     def get(self, name: str) -> Endpoint | None:
         """Return an endpoint, or None if it is not listed."""
-        return self._instances.get(name)
+        return self._endpoints.get(name)
 
     def listed(self, name: str) -> bool:
         """Return whether an endpoint accepts new calls: it is neither draining nor removed."""
-        instance = self.get(name)
-        return instance is not None and instance.status is EndpointStatus.LISTED
+        endpoint = self.get(name)
+        return endpoint is not None and endpoint.status is EndpointStatus.LISTED
 
     def instances(self) -> list[Endpoint]:
         """Return all endpoints in their current state."""
-        return list(self._instances.values())
+        return list(self._endpoints.values())
 
     def names(self) -> set[str]:
         """Return the names of all endpoints."""
-        return set(self._instances)
+        return set(self._endpoints)
 
 
-def _place(instance: Endpoint) -> tuple[int, str, int]:
+def _call_target(endpoint: Endpoint) -> tuple[int, str, int]:
     """Return what a call that waits for a connection depends on: destination and address."""
-    return instance.dest, instance.host, instance.port
+    return endpoint.dest, endpoint.host, endpoint.port
--- a/rowanrack/core/event_feed.py
+++ b/rowanrack/core/event_feed.py
@@ -12,15 +12,15 @@
 
     def __init__(self, events: Iterable[Event]) -> None:
         super().__init__(events)
-        self.read = 0
+        self.read_count = 0
 
     def __iter__(self) -> Iterator[Event]:
         """Iterate from the first event; an event counts as read once it has been yielded."""
-        self.read = 0
+        self.read_count = 0
         for event in super().__iter__():
-            self.read += 1
+            self.read_count += 1
             yield event
 
     def unread(self) -> EventFeed:
         """Return the events that have not been yielded."""
-        return EventFeed(self[self.read :])
+        return EventFeed(self[self.read_count :])
--- a/rowanrack/core/exchange.py
+++ b/rowanrack/core/exchange.py
@@ -60,22 +60,24 @@
 
 log = logging.getLogger(__name__)
 
+# Results after which the endpoint may have processed the message.
 MAYBE_RAN = frozenset({Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED})
-# the result of a call that was given up before it was sent, and so cannot have run
-UNSENT = {Result.TIMEOUT: Result.CONNECT_FAILED, Result.CANCELLED: Result.MOOT}
-# grace after a deadline before the exchange itself ends a message; the module has normally done so by then
-GUARD_US = 100_000
-LONG_AGO_US = 1 << 60
-HEARD_US = 10_000  # how long a received gossip note may wait, so that one round handles several
-STORE_LOOK_US = 100_000  # interval at which a store that cannot record is checked again
+# The result of a call that was given up before it was sent, and so cannot have run.
+RESULT_IF_UNSENT = {Result.TIMEOUT: Result.CONNECT_FAILED, Result.CANCELLED: Result.MOOT}
+# Grace after a deadline before the exchange itself ends a message; the module has normally done so by then.
+DEADLINE_GRACE_US = 100_000
+UNKNOWN_AGE_US = 1 << 60  # the age assumed for an attempt that began at an unknown time
+NOTE_DELAY_US = 10_000  # how long a received gossip note may wait, so that one round handles several
+STORE_CHECK_INTERVAL_US = 100_000  # interval at which a store that cannot record is checked again
 # Verdict for an attempt that the store could not record. The wait protects the message's limited number of
 # attempts: without it, each round would send the message and stop it again.
-UNRECORDED = CallVerdict(Result.MOOT, wait_us=500_000)
-ANSWER_US = 50_000  # interval at which a call that timed out while its answer was arriving is checked again
-ANSWER_LOOKS = 4
-# delay before a round is tried again in which the decision module failed without reading an event
-DECIDE_AGAIN_US = 1_000_000
-OVERDUE_US = 20_000  # a round that is this late is run by the next code path that gets the event loop
+NOT_RECORDED_VERDICT = CallVerdict(Result.MOOT, wait_us=500_000)
+# A call that timed out while its answer was arriving is checked again at this interval, so many times.
+ANSWER_CHECK_INTERVAL_US = 50_000
+MAX_ANSWER_CHECK_COUNT = 4
+# Delay before a round is tried again in which the decision module failed without reading an event.
+DECISION_RETRY_US = 1_000_000
+ROUND_OVERDUE_US = 20_000  # a round that is this late is run by the next code path that gets the event loop
 
 
 class Clock(Protocol):
@@ -174,28 +176,30 @@
         self.table = EndpointList()
         self.messages: dict[str, Message] = {}
         self.counts = dict.fromkeys(Ending, 0)
-        self.side: EndpointCalls | None = None
+        self.endpoint_calls: EndpointCalls | None = None
         self.observers: tuple[Observer, ...] = ()
         self.watch: Callable[[], None] = lambda: None
-        self.tell: Callable[[Note], None] = lambda note: None  # sends a gossip note to all other senders
-        # called after each round: its final answers can be sent to clients now
+        self.broadcast_note: Callable[[Note], None] = lambda note: (
+            None
+        )  # sends a gossip note to all other senders
+        # Called after each round: its final answers can be sent to clients now.
         self.round_over: Callable[[], None] = lambda: None
         self.load_shedder = LoadShedder(clock.now_us())
         self.listeners: dict[str, Callable[[Message, End], None]] = {}
         self.figures = Metrics()
         self.bans = self.table.bans  # detached endpoints get no new calls, whatever the sources list
-        self._refs: dict[int, Message] = {}
+        self._messages_by_ref: dict[int, Message] = {}
         self._next_ref = 0
         self._events: list[Event] = []
         self.frozen = False
         self._pumping = False
-        self._due_us: int | None = None  # when the next round is due
-        self._waits: DeadlineQueue[str | int] = DeadlineQueue()
-        # attempts whose call has not been sent yet, by endpoint name
-        self._unbegun: dict[str, dict[Attempt, None]] = {}
-        # calls that the current round has gathered, by endpoint name
+        self._round_due_us: int | None = None  # when the next round is due
+        self._retry_after_waits: DeadlineQueue[str | int] = DeadlineQueue()
+        # Attempts whose call has not been sent yet, by endpoint name.
+        self._unstarted_attempts: dict[str, dict[Attempt, None]] = {}
+        # Calls that the current round has gathered, by endpoint name.
         self._batches: dict[str, list[Batch]] = {}
-        self._looks = False  # whether a check of the store is scheduled
+        self._store_check_scheduled = False  # whether a check of the store is scheduled
 
     def observe(self, observer: Observer) -> None:
         """Add an observer."""
@@ -216,29 +220,29 @@
         self.run_overdue_round()
         if message_id and self.known(message_id) is not None:
             return None
-        if not (retry_us := self.load_shedder.refuses()):
+        if not (retry_us := self.load_shedder.early_refusal_us()):
             return None
-        return self._turned_away(None, Refusal(min(retry_us, self.settings.max_come_back_us)))
+        return self._refuse(None, Refusal(min(retry_us, self.settings.max_come_back_us)))
 
     def submit(self, message: Message) -> Refusal | None:
         """Accept a message and return None, or refuse it. An accepted message is owed a final answer."""
         self.run_overdue_round()
         if self.frozen or len(self.messages) >= self.settings.most_held:
-            return self._turned_away(message, Refusal(self._retry_us()))
-        if not self.table.knows(message.dest, self.clock.now_us()):
+            return self._refuse(message, Refusal(self._default_retry_us()))
+        if not self.table.knows_destination(message.dest, self.clock.now_us()):
             # Messages for destinations that do not exist must not fill the hold. Such a destination cannot be
             # told from a real one that is not listed yet, so the client is asked to retry.
-            return self._turned_away(message, Refusal(self._retry_us()))
+            return self._refuse(message, Refusal(self._default_retry_us()))
         if not self.store.recording() or not self.store.take(message):
             if self.store.recording():
-                log.warning("no room in the journal, message %s is turned away", message.id)
+                log.warning("no room in the journal, message %s is refused", message.id)
             else:
-                self._look_later()
-            return self._turned_away(message, Refusal(self._retry_us()))
+                self._schedule_store_check()
+            return self._refuse(message, Refusal(self._default_retry_us()))
         self.adopt(message)
         return None
 
-    def adopt(self, message: Message, served: bool = True, found: bool = False) -> None:
+    def adopt(self, message: Message, served: bool = True, recovered: bool = False) -> None:
         """Own a message that the store already holds: newly accepted, or recovered (`found`).
 
         A recovered message ends at once if this process cannot handle it: its front end is no longer
@@ -247,14 +251,14 @@
         self._next_ref += 1
         message.ref = self._next_ref
         left_us = max(0, message.deadline_us - self.clock.unix_us())
-        self.messages[message.id] = self._refs[message.ref] = message
+        self.messages[message.id] = self._messages_by_ref[message.ref] = message
         for observer in self.observers:
             observer.taken(message, left_us)
-        if not served or not self._repeats_known(message):
-            self._give_back(message)
+        if not served or not self._repeat_is_defined(message):
+            self._end_undeliverable(message)
             return
-        message.guard = self.after(left_us + GUARD_US, lambda: self._overdue(message))
-        self._put(
+        message.guard = self.after(left_us + DEADLINE_GRACE_US, lambda: self._end_overdue(message))
+        self._queue_event(
             Accept(
                 message.ref,
                 message.cls,
@@ -264,12 +268,12 @@
                 message.key or None,
                 attempts_made=message.attempts_made,
                 may_have_run=bool(message.unsettled),
-                first_attempt_age_us=self._ran_us(message),
-                waited_us=self._waited_us(message, left_us) if found else 0,
+                first_attempt_age_us=self._age_for_repeat_us(message),
+                waited_us=self._max_owned_us(message, left_us) if recovered else 0,
             )
         )
 
-    def _repeats_known(self, message: Message) -> bool:
+    def _repeat_is_defined(self, message: Message) -> bool:
         """Return whether the settings say what a repeated call of this message does.
 
         Front ends accept no other message, but one recovered from the journal may belong to a class that was
@@ -278,61 +282,68 @@
         cls = self.settings.classes.get(message.cls)
         return cls is not None and (bool(message.key) or cls.effect is not Effect.KEYED)
 
-    def _give_back(self, message: Message) -> None:
+    def _end_undeliverable(self, message: Message) -> None:
         """End a message that cannot be delivered: refused if it certainly has not run, otherwise failed."""
-        log.warning("message %s is given back: class %s, front %s", message.id, message.cls, message.front)
-        ran = bool(message.unsettled)
-        self._end(message, End(Ending.FAILED) if ran else End(Ending.REFUSED, self._retry_us()))
+        log.warning(
+            "message %s cannot be delivered with the current settings: class %s, front end %s",
+            message.id,
+            message.cls,
+            message.front,
+        )
+        may_have_run = bool(message.unsettled)
+        self._end_message(
+            message, End(Ending.FAILED) if may_have_run else End(Ending.REFUSED, self._default_retry_us())
+        )
 
-    def _waited_us(self, message: Message, left_us: int) -> int:
+    def _max_owned_us(self, message: Message, left_us: int) -> int:
         """Return the longest time that a recovered message can have been owned, from its class's deadline."""
         return max(0, self.settings.classes[message.cls].deadline_us - left_us)
 
-    def _ran_us(self, message: Message) -> int:
+    def _age_for_repeat_us(self, message: Message) -> int:
         """Return the age of the first attempt that may have run, for a message that is being adopted."""
         cls = self.settings.classes.get(message.cls)
         # After a restart it is no longer known in which zone a keyed message ran first, so no repeat is
         # allowed.
         if message.unsettled and cls is not None and cls.same_zone:
-            return LONG_AGO_US
-        return self._first_begun_us(message)
+            return UNKNOWN_AGE_US
+        return self._first_attempt_age_us(message)
 
-    def _first_begun_us(self, message: Message) -> int:
-        """Return the age of the first attempt that may have run; LONG_AGO_US if unknown, 0 if none."""
+    def _first_attempt_age_us(self, message: Message) -> int:
+        """Return the age of the first attempt that may have run; UNKNOWN_AGE_US if unknown, 0 if none."""
         if not message.unsettled:
             return 0
         since = min(message.unsettled.values())
-        return max(0, self.clock.unix_us() - since) if since else LONG_AGO_US
+        return max(0, self.clock.unix_us() - since) if since else UNKNOWN_AGE_US
 
-    def _key_lapsed(self, message: Message) -> bool:
+    def _key_expired(self, message: Message) -> bool:
         """Return whether a keyed message may not be repeated because its key has expired at endpoints."""
         cls = self.settings.classes.get(message.cls)
         keyed = cls is not None and cls.effect is Effect.KEYED and bool(message.unsettled)
-        return keyed and cls is not None and self._first_begun_us(message) >= cls.key_ttl_us
+        return keyed and cls is not None and self._first_attempt_age_us(message) >= cls.key_ttl_us
 
     def known(self, message_id: str) -> Message | End | None:
         """Return the message with this id while it is owned, then its final answer while retained."""
         return self.messages.get(message_id) or self.store.ended(message_id)
 
-    def _turned_away(self, message: Message | None, refusal: Refusal) -> Refusal:
+    def _refuse(self, message: Message | None, refusal: Refusal) -> Refusal:
         if message is not None:
             self.figures.declined(message.cls)
         for observer in self.observers:
             observer.turned_away(message, refusal)
         return refusal
 
-    def _retry_us(self) -> int:
+    def _default_retry_us(self) -> int:
         return min(1_000_000, self.settings.max_come_back_us)
 
     # Interface to discovery and to the endpoint calls.
 
-    def list_instances(self, scope: UpdateScope, instances: Iterable[Endpoint], source: str = "") -> None:
+    def list_instances(self, scope: UpdateScope, endpoints: Iterable[Endpoint], source: str = "") -> None:
         """Apply an update of the endpoint list from one source. A detached endpoint is listed as draining."""
-        self._listed(self.table.update(scope, instances, source, self.clock.now_us()))
+        self._apply_list_change(self.table.update(scope, endpoints, source, self.clock.now_us()))
 
     def detach(self, name: str) -> bool:
         """Send nothing new to an endpoint until it is attached; return False if no source lists it."""
-        if self.table.given(name) is None and name not in self.bans:
+        if self.table.as_listed(name) is None and name not in self.bans:
             return False
         self.ban(name)
         return True
@@ -341,27 +352,27 @@
         """Return the known outages and cold endpoints, to be saved for the next process."""
         return self.forwarder.outages(self.clock.now_us())
 
-    def recall(self, outages: tuple[Outage, ...]) -> None:
+    def restore_outages(self, outages: tuple[Outage, ...]) -> None:
         """Restore the outages that the previous process saved; called before anything is sent."""
         if outages:
-            self._put(OutagesRestored(outages))
+            self._queue_event(OutagesRestored(outages))
 
     def ban(self, name: str) -> None:
         """Detach an endpoint, listed or not: the ban outlasts list updates and restarts."""
         if name in self.bans:
             return
         self.bans.add(name)
-        if (given := self.table.given(name)) is not None:
-            self._listed(self.table.show([given], self.clock.now_us()))
+        if (listed := self.table.as_listed(name)) is not None:
+            self._apply_list_change(self.table.set_state([listed], self.clock.now_us()))
 
     def attach(self, name: str) -> bool:
         """Lift a ban; the endpoint returns cold, like a new one. Return False if it was not detached."""
         if name not in self.bans:
             return False
         self.bans.discard(name)
-        if (given := self.table.given(name)) is not None:
-            for instance in (replace(given, status=EndpointStatus.REMOVED), given):
-                self._listed(self.table.show([instance], self.clock.now_us()))
+        if (listed := self.table.as_listed(name)) is not None:
+            for endpoint in (replace(listed, status=EndpointStatus.REMOVED), listed):
+                self._apply_list_change(self.table.set_state([endpoint], self.clock.now_us()))
         return True
 
     @property
@@ -372,22 +383,22 @@
         out = {name for name, e in endpoints if e.out_since is not None and name in listed}
         return len(out | (self.bans & listed))
 
-    def _listed(self, change: EndpointListChange) -> None:
-        left = [i for i in change.news if i.status is not EndpointStatus.REMOVED]
+    def _apply_list_change(self, change: EndpointListChange) -> None:
+        left = [i for i in change.changed if i.status is not EndpointStatus.REMOVED]
         for observer in self.observers:
-            observer.listed(left, list(change.gone))
-        self._put(change.members)
-        for name in change.closed:
-            for attempt in list(self._unbegun.get(name, ())):
+            observer.listed(left, list(change.removed))
+        self._queue_event(change.update)
+        for name in change.closed_to_calls:
+            for attempt in list(self._unstarted_attempts.get(name, ())):
                 # A call still waiting for a connection must not go to an endpoint that drains, is removed or
                 # has moved.
-                self._drop(attempt, Result.MOOT)
-            if self.side is not None:
-                self.side.close_idle(name)
+                self._stop_waiting(attempt, Result.MOOT)
+            if self.endpoint_calls is not None:
+                self.endpoint_calls.close_idle(name)
         # State kept by endpoint name is dropped with the endpoint: another may reuse its name or address.
-        for name in change.gone:
-            self._waits.drop(name)
-        self._waits.due(self.clock.now_us())  # also drops waits that have expired
+        for name in change.removed:
+            self._retry_after_waits.drop(name)
+        self._retry_after_waits.due(self.clock.now_us())  # also drops waits that have expired
 
     def begin(self, attempt: Attempt) -> bool:
         """Return whether a call may still be sent, and record that it begins.
@@ -399,23 +410,24 @@
             return False
         # The call was decided on earlier and has waited for a connection. In the meantime the destination may
         # have asked for a wait, or the endpoint may have been drained or removed.
-        waiting = (self._waits.get(self._limit(attempt)) or 0) > self.clock.now_us()
-        barred = waiting or not self._owed(message) or not self.table.listed(attempt.endpoint.name)
+        waiting = (self._retry_after_waits.get(self._wait_scope(attempt)) or 0) > self.clock.now_us()
+        not_allowed = waiting or not self._is_owned(message) or not self.table.listed(attempt.endpoint.name)
         # The key may also have expired while a repeated call waited for a connection.
-        barred = barred or self._key_lapsed(message)
+        not_allowed = not_allowed or self._key_expired(message)
         # The store records the call first: after a restart, an unrecorded call could take effect a second
         # time.
-        if barred or not self.store.begin(message, attempt.attempt_number):
-            self.settle(attempt, Result.MOOT if barred else UNRECORDED)
+        if not_allowed or not self.store.begin(message, attempt.attempt_number):
+            self.settle(attempt, Result.MOOT if not_allowed else NOT_RECORDED_VERDICT)
             return False
-        late = self._key_lapsed(message)  # the key may also have expired while the store was writing
+        # The key may also have expired while the store was writing.
+        key_expired_meanwhile = self._key_expired(message)
         message.unsettled[attempt.attempt_number] = self.clock.unix_us()
         attempt.begun = True
-        if late:
+        if key_expired_meanwhile:
             self.settle(attempt, Result.MOOT)
             return False
         self.figures.forwarded(message.cls)
-        self._no_longer_unbegun(attempt)
+        self._remove_unstarted(attempt)
         for observer in self.observers:
             observer.began(attempt)
         return True
@@ -437,52 +449,52 @@
         for observer in self.observers:
             observer.settled(attempt, result, wait_us)
         message.out.pop(attempt.attempt_number, None)
-        self._no_longer_unbegun(attempt)
-        self._forget(message)
+        self._remove_unstarted(attempt)
+        self._release_ref(message)
         if wait_us:
-            limit = self._limit(attempt)
-            self._waits.set(limit, max(now + wait_us, self._waits.get(limit) or 0))
-        owed = self._owed(message)
+            scope = self._wait_scope(attempt)
+            self._retry_after_waits.set(scope, max(now + wait_us, self._retry_after_waits.get(scope) or 0))
+        owed = self._is_owned(message)
         if attempt.begun and result not in MAYBE_RAN and result is not Result.OK:
             message.unsettled.pop(attempt.attempt_number, None)
             if owed:
                 self.store.never_ran(message, attempt.attempt_number)
         if owed and result is Result.OK:
-            self._end(message, End(Ending.DELIVERED))
+            self._end_message(message, End(Ending.DELIVERED))
         elif owed and end is not None:
-            self._end(message, End(end))
-        over = not self._owed(message)
+            self._end_message(message, End(end))
+        message_ended = not self._is_owned(message)
         latency = now - attempt.started_us
         name = attempt.endpoint.name
-        self._put(
+        self._queue_event(
             Outcome(
                 message.ref,
                 attempt.attempt_number,
                 name,
                 result,
                 latency,
-                over,
+                message_ended,
                 wait_us,
                 verdict.left,
                 verdict.limit,
             )
         )
 
-    def _no_longer_unbegun(self, attempt: Attempt) -> None:
-        if (waiting := self._unbegun.get(attempt.endpoint.name)) is not None:
+    def _remove_unstarted(self, attempt: Attempt) -> None:
+        if (waiting := self._unstarted_attempts.get(attempt.endpoint.name)) is not None:
             waiting.pop(attempt, None)
             if not waiting:
-                del self._unbegun[attempt.endpoint.name]
+                del self._unstarted_attempts[attempt.endpoint.name]
 
-    def _limit(self, attempt: Attempt) -> str | int:
+    def _wait_scope(self, attempt: Attempt) -> str | int:
         """Return what a retry-after wait applies to.
 
         That is the whole destination, or the single endpoint if the endpoints of its kind are limited
         separately.
         """
-        instance = attempt.endpoint
-        apart = self.settings.kinds.get(instance.kind, DestinationKind()).apart
-        return instance.name if apart else instance.dest
+        endpoint = attempt.endpoint
+        apart = self.settings.kinds.get(endpoint.kind, DestinationKind()).apart
+        return endpoint.name if apart else endpoint.dest
 
     # Interface to the other senders.
 
@@ -492,7 +504,7 @@
         Notes tend to arrive together, so the round waits a little in order to handle several.
         """
         self._events.append(NoteReceived(peer, note))
-        self._wake_at(self.clock.now_us() + HEARD_US)
+        self._wake_at(self.clock.now_us() + NOTE_DELAY_US)
 
     # Interface to the decision module.
 
@@ -504,8 +516,8 @@
         return timer
 
     def _wake_at(self, due_us: int) -> None:
-        if self._due_us is None or due_us < self._due_us:
-            self._due_us = due_us
+        if self._round_due_us is None or due_us < self._round_due_us:
+            self._round_due_us = due_us
             self.clock.wake_at(due_us)
 
     def run_overdue_round(self) -> None:
@@ -514,7 +526,7 @@
         Under overload a round must not queue behind all other ready callbacks: the final answers of messages
         at their deadline would be late.
         """
-        if self._due_us is not None and self.clock.now_us() - self._due_us >= OVERDUE_US:
+        if self._round_due_us is not None and self.clock.now_us() - self._round_due_us >= ROUND_OVERDUE_US:
             self.pump()
 
     def freeze(self) -> None:
@@ -531,14 +543,14 @@
             return  # the actions of a round may call `run_overdue_round`
         self._pumping = True
         try:
-            self._round(self.clock.now_us())
+            self._run_round(self.clock.now_us())
         finally:
             self._pumping = False
 
-    def _round(self, now: int) -> None:
-        if self._due_us is not None:
-            self.load_shedder.record_delay(now, now - self._due_us)
-        self._due_us = None
+    def _run_round(self, now: int) -> None:
+        if self._round_due_us is not None:
+            self.load_shedder.record_delay(now, now - self._round_due_us)
+        self._round_due_us = None
         self.wheel.advance(now)
         batch, self._events = self._events, []
         if batch and not self.frozen:
@@ -546,7 +558,7 @@
             self._start_batches()
         self.round_over()
         if not self.store.recording():
-            self._look_later()
+            self._schedule_store_check()
         due = self.wheel.next_at()
         if due is not None:
             self._wake_at(due)
@@ -564,81 +576,82 @@
                 self._carry_out(self.forwarder.decide(now, events), now)
                 return
             except Exception:
-                log.exception("the decision module failed on event %d of %d", events.read, len(events))
+                log.exception("the decision module failed on event %d of %d", events.read_count, len(events))
             decided = self.forwarder.actions
             self._carry_out(decided if decided is not before else [], now)
-            if not events.read:
+            if not events.read_count:
                 # The failure was not caused by an event. The round is retried later; without that, no timer
                 # of the module would be armed again.
-                self.after(DECIDE_AGAIN_US, lambda: self._put(TimerFired(self.forwarder.token)))
+                self.after(DECISION_RETRY_US, lambda: self._queue_event(TimerFired(self.forwarder.token)))
                 return
             events = events.unread()
 
     def _carry_out(self, actions: list[Action], now: int) -> None:
         for action in actions:
             try:
-                self._do(action, now)
+                self._perform(action, now)
             except Exception:
                 # Messages stay owned, and the remaining actions are still carried out.
-                log.exception("%s failed", action)
+                log.exception("action failed: %s", action)
 
-    def _put(self, event: Event) -> None:
+    def _queue_event(self, event: Event) -> None:
         """Queue an event for the next tick."""
         self._events.append(event)
         tick = self.wheel.tick_us
         self._wake_at((self.clock.now_us() // tick + 1) * tick)
 
-    def _do(self, action: Action, now: int) -> None:
+    def _perform(self, action: Action, now: int) -> None:
         match action:
             case Send():
                 self._send(action, now)
             case Refuse():
-                self._finish(action.ref, End(Ending.REFUSED, action.come_back_us))
+                self._end_by_ref(action.ref, End(Ending.REFUSED, action.come_back_us))
             case Fail():
-                self._finish(action.ref, End(Ending.FAILED))
+                self._end_by_ref(action.ref, End(Ending.FAILED))
             case Cancel():
-                message = self._refs.get(action.ref)
+                message = self._messages_by_ref.get(action.ref)
                 if message is not None and (attempt := message.out.get(action.attempt_number)) is not None:
-                    self._drop(attempt, Result.CANCELLED)
+                    self._stop_waiting(attempt, Result.CANCELLED)
             case Disconnect():
-                if self.side is not None:
-                    self.side.close_idle(action.target)
+                if self.endpoint_calls is not None:
+                    self.endpoint_calls.close_idle(action.target)
             case ArmTimer():
                 token = action.token
                 self.wheel.at(now + action.after_us, lambda: self._events.append(TimerFired(token)))
             case WatchEndpointList():
                 self.watch()
             case BroadcastNote():
-                self.tell(action.note)
+                self.broadcast_note(action.note)
             case LogLine():
-                log.info("module: %s", action.text)
+                log.info("decision module: %s", action.text)
 
     def _send(self, action: Send, now: int) -> None:
-        message = self._refs.get(action.ref)
-        instance = self.table.get(action.target)
-        if message is None or not self._owed(message):
-            log.error("the module sends message %d, which has ended", action.ref)
+        message = self._messages_by_ref.get(action.ref)
+        endpoint = self.table.get(action.target)
+        if message is None or not self._is_owned(message):
+            log.error("decision module tried to send message %d, which has already ended", action.ref)
             return
-        leg, message.attempts_made = message.attempts_made, message.attempts_made + 1
+        attempt_number, message.attempts_made = message.attempts_made, message.attempts_made + 1
         # The list may have moved the endpoint to another destination since the module chose it.
-        if instance is None or instance.dest != message.dest or self.side is None:
-            self._put(Outcome(action.ref, leg, action.target, Result.MOOT, 0, False))
+        if endpoint is None or endpoint.dest != message.dest or self.endpoint_calls is None:
+            self._queue_event(Outcome(action.ref, attempt_number, action.target, Result.MOOT, 0, False))
             return
-        batch = self._batch_for(message, instance)
-        attempt = message.out[leg] = Attempt(message, leg, instance, now, action.timeout_us, batch)
+        batch = self._batch_for(message, endpoint)
+        attempt = message.out[attempt_number] = Attempt(
+            message, attempt_number, endpoint, now, action.timeout_us, batch
+        )
         batch.attempts.append(attempt)
-        self._unbegun.setdefault(instance.name, {})[attempt] = None
-        attempt.timer = self.after(action.timeout_us, lambda: self._drop(attempt, Result.TIMEOUT))
+        self._unstarted_attempts.setdefault(endpoint.name, {})[attempt] = None
+        attempt.timer = self.after(action.timeout_us, lambda: self._stop_waiting(attempt, Result.TIMEOUT))
 
-    def _batch_for(self, message: Message, instance: Endpoint) -> Batch:
-        """Return the batch for a message of this round; its size is limited, and no message is in it twice.
-        """
-        most = self.settings.kinds.get(instance.kind, DestinationKind()).batch
-        batches = self._batches.setdefault(instance.name, [])
+    def _batch_for(self, message: Message, endpoint: Endpoint) -> Batch:
+        """Return the batch for a message of this round; it has a size limit and no duplicates."""
+        max_batch_size = self.settings.kinds.get(endpoint.kind, DestinationKind()).batch
+        batches = self._batches.setdefault(endpoint.name, [])
         for batch in batches[-1:]:
-            if len(batch.attempts) < most and all(e.message is not message for e in batch.attempts):
+            if len(batch.attempts) < max_batch_size and all(e.message is not message for e in batch.attempts):
                 return batch
-        batches.append(Batch(instance))
+        batches.append(Batch(endpoint))
         return batches[-1]
 
     def _start_batches(self) -> None:
@@ -647,23 +660,23 @@
         ready = [b for batches in gathered.values() for b in batches]
         if ready and self.store.behind():
             for attempt in [e for b in ready for e in b.waiting()]:
-                self.settle(attempt, UNRECORDED)
+                self.settle(attempt, NOT_RECORDED_VERDICT)
         for batch in ready:
-            if self.side is not None and batch.waiting():
-                self.side.start(batch)
+            if self.endpoint_calls is not None and batch.waiting():
+                self.endpoint_calls.start(batch)
 
-    def _look_later(self) -> None:
+    def _schedule_store_check(self) -> None:
         """Schedule a check of the store, so that an idle sender also resumes when the disk has room again."""
-        if not self._looks:
-            self._looks = True
-            self.after(STORE_LOOK_US, self._look)
+        if not self._store_check_scheduled:
+            self._store_check_scheduled = True
+            self.after(STORE_CHECK_INTERVAL_US, self._check_store)
 
-    def _look(self) -> None:
-        self._looks = False
+    def _check_store(self) -> None:
+        self._store_check_scheduled = False
         if not self.store.recording():
-            self._look_later()
+            self._schedule_store_check()
 
-    def _drop(self, attempt: Attempt, result: Result) -> None:
+    def _stop_waiting(self, attempt: Attempt, result: Result) -> None:
         """Stop waiting for an attempt; one that has not begun is settled as never run.
 
         An attempt that shares its call with others ends with that call: until then it may run, and its
@@ -672,10 +685,10 @@
         if attempt.begun:
             attempt.given_up = result
         else:
-            self.settle(attempt, UNSENT.get(result, result))
-        self._give_up(attempt.batch)
+            self.settle(attempt, RESULT_IF_UNSENT.get(result, result))
+        self._close_if_unwanted(attempt.batch)
 
-    def _give_up(self, batch: Batch, looks: int = ANSWER_LOOKS) -> None:
+    def _close_if_unwanted(self, batch: Batch, remaining_checks: int = MAX_ANSWER_CHECK_COUNT) -> None:
         """Close a call that nobody waits for any more, unless its answer is already arriving.
 
         Under load a time-out and the answer are often handled in the same event-loop iteration, and closing
@@ -683,41 +696,45 @@
         answer never completes.
         """
         left = [e for e in batch.attempts if not e.settled]
-        if self.side is None or any(e.given_up is None for e in left):
+        if self.endpoint_calls is None or any(e.given_up is None for e in left):
             return
-        progress = self.side.progress(batch) if left else Progress.SENT
-        if progress is Progress.ENDING and looks:
-            self.after(ANSWER_US, lambda: self._give_up(batch, looks - 1))
+        progress = self.endpoint_calls.progress(batch) if left else Progress.SENT
+        if progress is Progress.ENDING and remaining_checks:
+            self.after(ANSWER_CHECK_INTERVAL_US, lambda: self._close_if_unwanted(batch, remaining_checks - 1))
             return
-        self.side.abandon(batch)
+        self.endpoint_calls.abandon(batch)
         for attempt in left:
             result = attempt.given_up or Result.CANCELLED
-            self.settle(attempt, UNSENT.get(result, result) if progress is Progress.UNSENT else result)
+            self.settle(
+                attempt, RESULT_IF_UNSENT.get(result, result) if progress is Progress.UNSENT else result
+            )
 
-    def _finish(self, ref: int, end: End) -> None:
-        message = self._refs.get(ref)
-        if message is not None and self._owed(message):
-            self._end(message, end)
+    def _end_by_ref(self, ref: int, end: End) -> None:
+        message = self._messages_by_ref.get(ref)
+        if message is not None and self._is_owned(message):
+            self._end_message(message, end)
 
-    def _owed(self, message: Message) -> bool:
+    def _is_owned(self, message: Message) -> bool:
         return self.messages.get(message.id) is message
 
-    def _forget(self, message: Message) -> None:
+    def _release_ref(self, message: Message) -> None:
         """Drop the reference number of an ended message that has no attempt left to cancel."""
-        if not self._owed(message) and not message.out:
-            self._refs.pop(message.ref, None)
+        if not self._is_owned(message) and not message.out:
+            self._messages_by_ref.pop(message.ref, None)
 
-    def _overdue(self, message: Message) -> None:
+    def _end_overdue(self, message: Message) -> None:
         """End a message that got no final answer by its deadline because the decision module failed."""
-        if self._owed(message):
-            log.error("message %s had no end when its time was up", message.id)
-            self._end(message, End(Ending.FAILED))
-            self._put(Withdrawn(message.ref))  # otherwise the module could still send the ended message
-
-    def _end(self, message: Message, end: End) -> None:
+        if self._is_owned(message):
+            log.error("message %s had no final answer at its deadline", message.id)
+            self._end_message(message, End(Ending.FAILED))
+            self._queue_event(
+                Withdrawn(message.ref)
+            )  # otherwise the module could still send the ended message
+
+    def _end_message(self, message: Message, end: End) -> None:
         """End a message. This is the only place where that happens."""
         del self.messages[message.id]
-        self._forget(message)
+        self._release_ref(message)
         if message.guard is not None:
             message.guard.cancel()
         self.counts[end.ending] += 1
--- a/rowanrack/core/messages.py
+++ b/rowanrack/core/messages.py
@@ -24,7 +24,7 @@
 class Progress(Enum):
     """How far a call has come at the moment when it is to be given up."""
 
-    # the kernel has not been given its last byte, so the call cannot run if it is closed now
+    # The kernel has not been given its last byte, so the call cannot run if it is closed now.
     UNSENT = "unsent"
     SENT = "sent"
     ENDING = "ending"  # an answer, or the end of the connection, has begun to arrive
@@ -112,7 +112,7 @@
     timer: WheelTimer | None = None
     begun: bool = False
     settled: bool = False
-    # the result if the shared call, which goes on for other attempts, reports none
+    # The result if the shared call, which goes on for other attempts, reports none.
     given_up: Result | None = None
 
 
--- a/rowanrack/core/metrics.py
+++ b/rowanrack/core/metrics.py
@@ -6,8 +6,8 @@
 
 from rowanrack.core.messages import Ending
 
-COUNTS = ("succeeded", "declined", "aborted", "forwards")
-OF_ENDING = {
+COUNTER_NAMES = ("succeeded", "declined", "aborted", "forwards")
+COUNTER_BY_ENDING = {
     Ending.DELIVERED: "succeeded",
     Ending.REFUSED: "declined",
     Ending.FAILED: "aborted",
@@ -24,11 +24,11 @@
     """Counts by class: messages delivered, refused or handed back, and failed; calls sent to endpoints."""
 
     def __init__(self) -> None:
-        self.counts: dict[str, Counter[str]] = {name: Counter() for name in COUNTS}
+        self.counts: dict[str, Counter[str]] = {name: Counter() for name in COUNTER_NAMES}
 
     def ended(self, cls: str, ending: Ending) -> None:
         """Count the final answer to an accepted message."""
-        self.counts[OF_ENDING[ending]][cls] += 1
+        self.counts[COUNTER_BY_ENDING[ending]][cls] += 1
 
     def declined(self, cls: str) -> None:
         """Count a message that was refused before it was accepted."""
@@ -41,7 +41,7 @@
     def exposition(self, classes: list[str], outstanding: int, discovered: int, ejected: int) -> str:
         """Return all metrics in the text exposition format; each class is listed, if only with 0."""
         lines: list[str] = []
-        for name in COUNTS:
+        for name in COUNTER_NAMES:
             lines.append(f"# TYPE svc_{name} counter")
             seen = sorted(set(classes) | set(self.counts[name]))
             lines += [f'svc_{name}{{service="{_label(c)}"}} {self.counts[name][c]}' for c in seen]
--- a/rowanrack/core/wheel.py
+++ b/rowanrack/core/wheel.py
@@ -30,24 +30,24 @@
             raise ValueError("tick_us: must be 1 or more")
         self.tick_us = tick_us
         self._slots: dict[int, list[WheelTimer]] = {}
-        self._ticks: list[int] = []
-        self._done = now_us // tick_us
+        self._tick_heap: list[int] = []
+        self._last_tick = now_us // tick_us
 
     def at(self, due_us: int, action: Callable[[], None]) -> WheelTimer:
         """Call `action` at the first tick at or after that time, but never at a tick that has passed."""
-        tick = max(-(-due_us // self.tick_us), self._done + 1)
+        tick = max(-(-due_us // self.tick_us), self._last_tick + 1)
         timer = WheelTimer(action)
         if tick not in self._slots:
             self._slots[tick] = []
-            heapq.heappush(self._ticks, tick)
+            heapq.heappush(self._tick_heap, tick)
         self._slots[tick].append(timer)
         return timer
 
     def advance(self, now_us: int) -> None:
         """Fire all due timers in the order of their ticks."""
-        self._done = max(self._done, now_us // self.tick_us)
-        while self._ticks and self._ticks[0] <= self._done:
-            for timer in self._slots.pop(heapq.heappop(self._ticks)):
+        self._last_tick = max(self._last_tick, now_us // self.tick_us)
+        while self._tick_heap and self._tick_heap[0] <= self._last_tick:
+            for timer in self._slots.pop(heapq.heappop(self._tick_heap)):
                 if timer.action is None:
                     continue
                 try:
@@ -58,8 +58,8 @@
 
     def next_at(self) -> int | None:
         """Return when the next tick with an active timer is due, or None."""
-        while self._ticks:
-            if any(t.action is not None for t in self._slots[self._ticks[0]]):
-                return self._ticks[0] * self.tick_us
-            del self._slots[heapq.heappop(self._ticks)]
+        while self._tick_heap:
+            if any(t.action is not None for t in self._slots[self._tick_heap[0]]):
+                return self._tick_heap[0] * self.tick_us
+            del self._slots[heapq.heappop(self._tick_heap)]
         return None
--- a/rowanrack/lab/scenario.py
+++ b/rowanrack/lab/scenario.py
@@ -11,7 +11,14 @@
 from msgspec import Meta, Struct
 
 from rowanrack.lab.partners import Figures
-from rowanrack.site_file import Above, Count, Share, Whole, explain, line_of
+from rowanrack.site_file import (
+    NonNegativeInt,
+    PositiveFloat,
+    PositiveInt,
+    UnitFraction,
+    explain_validation_error,
+    find_line,
+)
 
 SCENARIOS = Path(__file__).parent / "scenarios"
 SENDER = frozenset({"kill", "lose", "hang", "disk", "clock"})
@@ -39,18 +46,18 @@
 
     name: str
     effect: Literal["retryable", "fragile"]
-    share: Above = 1.0
-    slo_ms: Count = 2500
-    deadline_ms: Count = 8000
-    late_worth: Share = 0.4
+    share: PositiveFloat = 1.0
+    slo_ms: PositiveInt = 2500
+    deadline_ms: PositiveInt = 8000
+    late_worth: UnitFraction = 0.4
 
 
 class Place(Figures, forbid_unknown_fields=True, kw_only=True, frozen=True):
     """A partner: its figures, its endpoints NAME-0 and on, and its share of the traffic."""
 
     name: str
-    endpoints: Count = 2
-    share: Above = 1.0
+    endpoints: PositiveInt = 2
+    share: PositiveFloat = 1.0
 
 
 class Fault(Table, frozen=True):
@@ -72,7 +79,7 @@
     at_s: Seconds
     drop: list[str] = []
     on: str = ""
-    ahead_s: Above = 2.0  # from then on it is valid
+    ahead_s: PositiveFloat = 2.0  # from then on it is valid
 
 
 class Read(Table, frozen=True):
@@ -93,11 +100,11 @@
     """The channels' log at every sender."""
 
     log: bool = True
-    disk_mb: Above = 16.0
+    disk_mb: PositiveFloat = 16.0
     shards: Annotated[int, Meta(ge=1, le=4096)] = 64  # of announced layouts
     keepers: Annotated[int, Meta(ge=1, le=16)] = 2
-    heard_s: Above = 10.0  # behind which a detach must have been heard of
-    settle_s: Above = 60.0  # for the order to settle behind the run
+    heard_s: PositiveFloat = 10.0  # behind which a detach must have been heard of
+    settle_s: PositiveFloat = 60.0  # for the order to settle behind the run
     layout: list[NewLayout] = []
     read: list[Read] = []
 
@@ -108,19 +115,19 @@
 class Scenario(Table, frozen=True):
     """A whole file; `rate` in messages a second from all clients together."""
 
-    seconds: Above
-    senders: Count
-    rate: Above
+    seconds: PositiveFloat
+    senders: PositiveInt
+    rate: PositiveFloat
     partner: Annotated[list[Place], Meta(min_length=1)]
     grade: Annotated[list[Grade], Meta(min_length=1)] = msgspec.field(default_factory=lambda: list(GRADES))
     fault: list[Fault] = []
-    slots: Count = 16
-    held: Count = 200
-    disk_mb: Above = 4.0
-    wave: Count = 4  # senders that start at once
+    slots: PositiveInt = 16
+    held: PositiveInt = 200
+    disk_mb: PositiveFloat = 4.0
+    wave: PositiveInt = 4  # senders that start at once
     notes: bool = False
     covered: bool = False  # whether what a sender with an emptied folder took must still end
-    spread: Whole = 4  # senders that a client tries, one after the other
+    spread: NonNegativeInt = 4  # senders that a client tries, one after the other
     uneven: Seconds = 0.0  # deviation of the logarithm of a sender's part of the messages
     channels: Channels | None = None
 
@@ -167,9 +174,9 @@
     try:
         scenario = msgspec.convert(doc, Scenario)
     except msgspec.ValidationError as error:
-        raise ScenarioError(explain(str(error), doc, text)) from None
+        raise ScenarioError(explain_validation_error(str(error), doc, text)) from None
     for steps, what in mistakes(scenario):
-        line = line_of(text, steps)
+        line = find_line(text, steps)
         raise ScenarioError(f"{f'line {line}: ' if line else ''}{'.'.join(steps)}: {what}")
     return scenario
 
--- a/rowanrack/logs.py
+++ b/rowanrack/logs.py
@@ -5,17 +5,17 @@
 import logging
 import sys
 
-PLAIN = "%(asctime)s.%(msecs)03d %(levelname)s %(name)s: %(message)s"
-FORMS = ("plain", "json")
+PLAIN_FORMAT = "%(asctime)s.%(msecs)03d %(levelname)s %(name)s: %(message)s"
+FORMATS = ("plain", "json")
 
 
-def set_up(form: str = "plain") -> None:
+def set_up_logging(log_format: str = "plain") -> None:
     """Write the log to standard error in one of FORMATS.
 
     JSON lines have `timestamp` (UTC), `level`, `logger`, `event` and, for an exception, `exception`.
     """
     handler = logging.StreamHandler(sys.stderr)
-    if form == "json":
+    if log_format == "json":
         import structlog  # loaded only if used: a sender may be limited to 32 MB
 
         handler.setFormatter(
@@ -33,5 +33,5 @@
             )
         )
     else:
-        handler.setFormatter(logging.Formatter(PLAIN, "%H:%M:%S"))
+        handler.setFormatter(logging.Formatter(PLAIN_FORMAT, "%H:%M:%S"))
     logging.basicConfig(level=logging.INFO, handlers=[handler])
--- a/rowanrack/model/sender.py
+++ b/rowanrack/model/sender.py
@@ -105,9 +105,9 @@
             self.exchange.forwarder.gossip = HearsayOfSome(self.settings, self.some)
         # No round is late here. The governor takes 1.5 s without one for a full core, and a real sender's
         # listeners cause some each second.
-        self.exchange.load_shedder.record_delay = lambda now_us, late_us: None  # type: ignore[method-assign]
+        self.exchange.load_shedder.record_delay = lambda now_us, delay_us: None  # type: ignore[method-assign]
         self.calls = Calls(self)
-        self.exchange.side = self.calls
+        self.exchange.endpoint_calls = self.calls
         settle = self.exchange.settle
 
         def settle_and_note(attempt: Attempt, verdict: CallVerdict | Result) -> None:
@@ -132,12 +132,12 @@
         self.exchange.settle = settle_and_note  # type: ignore[method-assign]
         life = self.life
         self.exchange.watch = lambda: self.discovery.watch(self, life)
-        self.exchange.tell = lambda note: self.tell(note)
+        self.exchange.broadcast_note = lambda note: self.tell(note)
         self.exchange.listeners[FRONT] = self._ended
         self.discovery.start(self, life)
-        self.exchange.recall(self._outages)
+        self.exchange.restore_outages(self._outages)
         for message in list(store.owed.values()):
-            self.exchange.adopt(message, found=True)
+            self.exchange.adopt(message, recovered=True)
         self.history.add(Entry(self.engine.now, "ready", self.number))
         self.exchange.pump()
 
--- a/rowanrack/recovery.py
+++ b/rowanrack/recovery.py
@@ -10,14 +10,14 @@
 from rowanrack.net.pool import CallForm
 
 
-def own(exchange: Exchange, forms: dict[str, CallForm], found: Iterable[Message]) -> None:
+def own_recovered(exchange: Exchange, forms: dict[str, CallForm], recovered: Iterable[Message]) -> None:
     """Own all these messages.
 
     A message from an OTLP front end that is no longer configured is still delivered, in the OTLP format.
     """
-    for message in found:
+    for message in recovered:
         if message.front == OTLP and OTLP not in forms:
             from rowanrack.fronts.otlp.calls import OtlpForm  # loads protobuf only if used
 
             forms[OTLP] = OtlpForm()
-        exchange.adopt(message, served=message.front in forms, found=True)
+        exchange.adopt(message, served=message.front in forms, recovered=True)
--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -280,7 +280,7 @@
 default = "7"
 """
 
-    load_again, reload = Sender.load_again, Sender.reload
+    reload_from, reload = Sender.reload_from, Sender.reload
     watch = notices = otlp = None
 
     def start(self) -> None:
@@ -297,7 +297,7 @@
         )
 
     async def _loaded(self) -> None:
-        cast(Any, self).load_again(lambda: operator_config(self.path))
+        cast(Any, self).reload_from(lambda: operator_config(self.path))
         await self.passes(0.01)
 
     async def says(self, *entries: Entry) -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -159,7 +159,7 @@
     """The time-out of the one attempt that is out."""
     exchange = rig.sender.exchange
     (attempt,) = [a for message in exchange.messages.values() for a in message.out.values()]
-    exchange._drop(attempt, Result.TIMEOUT)
+    exchange._stop_waiting(attempt, Result.TIMEOUT)
 
 
 @pytest.mark.parametrize("read", [False, True])
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -271,12 +271,12 @@
 @on_loop
 async def test_bad_input_is_answered_late_but_only_so_often(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
-        rig.sender.fronts[0][0]._penalties = load_shedder.PENALTIES
+        rig.sender.fronts[0][0]._penalties = load_shedder.MIN_PENALTY_COUNT
         loop = asyncio.get_running_loop()
         for held_up in (False, True):
             began = loop.time()
             assert (await (await rig.client()).command("NO")).startswith(b"-ERR unknown command")
-            assert (loop.time() - began >= load_shedder.PENALTY_US / 1e6) is held_up
+            assert (loop.time() - began >= load_shedder.MIN_PENALTY_US / 1e6) is held_up
             rig.sender.fronts[0][0]._penalties = 0
 
 
@@ -291,8 +291,8 @@
         assert not rig.sender.exchange.messages
         rig.once_listed(99)
         assert await client.submit("m2", dest=99) == b"+OK\r\n"
-        assert rig.sender.exchange.table.knows(99, 0)
-        assert not rig.sender.exchange.table.knows(99, 1 << 60)
+        assert rig.sender.exchange.table.knows_destination(99, 0)
+        assert not rig.sender.exchange.table.knows_destination(99, 1 << 60)
 
 
 def test_lines_that_outsiders_cause_are_rare(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -340,9 +340,9 @@
     desk.run(10_000)
     pair = list(desk.calls)
     assert all(desk.exchange.begin(e) for e in pair)
-    desk.exchange._drop(pair[0], Result.TIMEOUT)
+    desk.exchange._stop_waiting(pair[0], Result.TIMEOUT)
     assert not desk.abandoned and not pair[0].settled
-    desk.exchange._drop(pair[1], Result.TIMEOUT)
+    desk.exchange._stop_waiting(pair[1], Result.TIMEOUT)
     assert desk.abandoned == pair and all(e.settled for e in pair)
 
 
@@ -354,6 +354,6 @@
         )
     desk.run(10_000)
     first, second = desk.calls
-    desk.exchange._drop(first, Result.TIMEOUT)
+    desk.exchange._stop_waiting(first, Result.TIMEOUT)
     assert first.settled and not desk.abandoned
     assert not desk.exchange.begin(first) and desk.exchange.begin(second)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -34,7 +34,7 @@
         self.exchange = Exchange(
             parse_settings(json.dumps(SETTINGS | (given or {}))), 1, self, self.journal, 5000
         )
-        self.exchange.side = self
+        self.exchange.endpoint_calls = self
         self.exchange.listeners["platform"] = lambda m, end: self.ends.update({m.id: end})
         self.exchange.list_instances(UpdateScope.FULL, [instance("i0", 1)])
 
@@ -110,7 +110,7 @@
     assert desk.exchange.begin(attempt)
     desk.exchange.settle(attempt, Result.OK)
     desk.exchange.settle(attempt, Result.RESET)
-    desk.exchange._do(Fail(attempt.message.ref), desk.now)
+    desk.exchange._perform(Fail(attempt.message.ref), desk.now)
     assert desk.ends == {"m1": End(Ending.DELIVERED)}
     assert desk.exchange.counts[Ending.DELIVERED] == 1 and desk.exchange.counts[Ending.FAILED] == 0
 
@@ -118,7 +118,7 @@
 def test_a_time_out_before_the_first_byte_has_never_run(tmp_path: Path) -> None:
     desk = Desk(tmp_path)
     attempt = desk.submit("m1")
-    desk.exchange._drop(attempt, Result.TIMEOUT)
+    desk.exchange._stop_waiting(attempt, Result.TIMEOUT)
     assert not attempt.message.unsettled and not desk.journal.owed["m1"].unsettled
 
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -58,15 +58,15 @@
         client, exchange = await rig.client(), rig.sender.exchange
         for n in range(100):
             exchange.list_instances(UpdateScope.FULL, [instance(f"n{n}", rig.servers[0].port)])
-            exchange._waits.set(f"n{n}", 1 << 60)
+            exchange._retry_after_waits.set(f"n{n}", 1 << 60)
             await client.submit(f"m{n}")
             await rig.ended(f"m{n}")
         exchange.list_instances(UpdateScope.FULL, ())
         exchange.pump()
-        assert not rig.sender.pool.idle and not rig.sender.pool._aged and not exchange._waits
+        assert not rig.sender.pool.idle and not rig.sender.pool._aged and not exchange._retry_after_waits
         forwarder = exchange.forwarder
         assert not forwarder.endpoints and not forwarder.unlisted and not forwarder.attempts
-        assert not exchange.table.names() and not exchange._refs
+        assert not exchange.table.names() and not exchange._messages_by_ref
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -512,7 +512,7 @@
     text = (Path(__file__).parents[1] / "deploy" / "operator.example.toml").read_text()
     path = tmp_path / "site.toml"
     path.write_text(text + '\n[peers]\nlisten = "127.0.0.1:1"\npeers = []\nall_at = "127.0.0.1:2"\n')
-    with pytest.raises(ConfigError, match="peers: senders tell each other something only where"):
+    with pytest.raises(ConfigError, match="peers: gossip between senders requires a"):
         operator_config(path)
 
 
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -43,7 +43,7 @@
         for _ in range(25):
             await asyncio.sleep(0)
         look()
-        due = desk.exchange._due_us  # of the wheel or of news that wait
+        due = desk.exchange._round_due_us  # of the wheel or of news that wait
         if due is None or due > until:
             break
         desk.now = max(desk.now, due)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -32,8 +32,8 @@
     """So many spans in which every round is so late, and strangers use that share of the time."""
     for _ in range(count):
         for _ in range(10):
-            load_shedder.spent(strangers * load.SPAN_US / 10)
-            load_shedder._test_now += load.SPAN_US // 10  # type: ignore[attr-defined]
+            load_shedder.spent(strangers * load.WINDOW_US / 10)
+            load_shedder._test_now += load.WINDOW_US // 10  # type: ignore[attr-defined]
             load_shedder.record_delay(load_shedder._test_now, late_us)  # type: ignore[attr-defined]
 
 
@@ -48,17 +48,17 @@
     ("late_us", "level", "refuses"),
     [
         (0, Level.CALM, False),
-        (load.TIGHT_LATE_US - MS, Level.CALM, False),
-        (load.TIGHT_LATE_US, Level.TIGHT, False),
-        (load.HARD_LATE_US - MS, Level.TIGHT, False),
-        (load.HARD_LATE_US, Level.HARD, True),
+        (load.ELEVATED_DELAY_US - MS, Level.CALM, False),
+        (load.ELEVATED_DELAY_US, Level.ELEVATED, False),
+        (load.OVERLOAD_DELAY_US - MS, Level.ELEVATED, False),
+        (load.OVERLOAD_DELAY_US, Level.OVERLOADED, True),
     ],
 )
 def test_what_is_shed_follows_from_how_late_rounds_run(
     load_shedder: LoadShedder, late_us: int, level: Level, refuses: bool
 ) -> None:
     spans(load_shedder, 1, late_us)
-    assert load_shedder.level is level and any(load_shedder.refuses() for _ in range(10)) is refuses
+    assert load_shedder.level is level and any(load_shedder.early_refusal_us() for _ in range(10)) is refuses
 
 
 def test_one_late_turn_in_a_span_is_no_state(load_shedder: LoadShedder) -> None:
@@ -69,59 +69,78 @@
 
 def test_a_span_in_which_nothing_ran_was_late_itself(load_shedder: LoadShedder) -> None:
     load_shedder.record_delay(5 * SECOND_US, 0)
-    assert load_shedder.level is Level.HARD
+    assert load_shedder.level is Level.OVERLOADED
 
 
 def test_a_level_ends_step_by_step_after_easy_spans(load_shedder: LoadShedder) -> None:
-    spans(load_shedder, 2, load.HARD_LATE_US)
+    spans(load_shedder, 2, load.OVERLOAD_DELAY_US)
     levels = list[Level]()
-    for easy in (load.EASY_SPANS - 1, None, load.EASY_SPANS - 1, 1, load.EASY_SPANS):
+    for easy in (load.EASE_WINDOW_COUNT - 1, None, load.EASE_WINDOW_COUNT - 1, 1, load.EASE_WINDOW_COUNT):
         if easy is None:
-            spans(load_shedder, 1, int(load.HARD_LATE_US * 0.7))  # not late, nor easy: the count begins anew
+            spans(
+                load_shedder, 1, int(load.OVERLOAD_DELAY_US * 0.7)
+            )  # not late, nor easy: the count begins anew
         else:
             load_shedder.refused_share = 0.0  # which keeps the level on
             spans(load_shedder, easy, 0)
         levels.append(load_shedder.level)
-    assert levels == [Level.HARD, Level.HARD, Level.HARD, Level.TIGHT, Level.CALM]
+    assert levels == [Level.OVERLOADED, Level.OVERLOADED, Level.OVERLOADED, Level.ELEVATED, Level.CALM]
 
 
 def test_on_call_reads_one_line_at_the_begin_and_one_at_the_end(
     load_shedder: LoadShedder, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    spans(load_shedder, 3, load.TIGHT_LATE_US, 0.3)
-    spans(load_shedder, 3, load.HARD_LATE_US)
+    spans(load_shedder, 3, load.ELEVATED_DELAY_US, 0.3)
+    spans(load_shedder, 3, load.OVERLOAD_DELAY_US)
     while load_shedder.refused < 2:
-        load_shedder.refuses()
-    spans(load_shedder, 9 * load.EASY_SPANS, 0)
+        load_shedder.early_refusal_us()
+    spans(load_shedder, 9 * load.EASE_WINDOW_COUNT, 0)
     texts = [record.getMessage() for record in caplog.records]
     assert len(texts) == 2
-    assert texts[0] == "the core is full: rounds are 50 ms late, strangers use 30% of the time"
-    assert "has room again" in texts[1] and "2 messages were refused early" in texts[1]
+    assert texts[0] == "overload began: rounds are 50 ms late, new clients use 30% of the time"
+    assert "overload ended after" in texts[1] and "2 messages were refused early" in texts[1]
 
 
 def test_strangers_wait_longer_while_they_use_more_than_their_share(load_shedder: LoadShedder) -> None:
     spans(load_shedder, 3, 0, strangers=0.08)
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
-    spans(load_shedder, 30, load.HARD_LATE_US, strangers=0.08)  # too much when the core is full
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_MOST_US, 100)
-    spans(load_shedder, 30, load.HARD_LATE_US, strangers=0.02)
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
-    assert load_shedder.penalties(16) == load.PENALTIES
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (
+        load.MIN_PENALTY_US,
+        load.MIN_PENALTY_COUNT,
+    )
+    spans(load_shedder, 30, load.OVERLOAD_DELAY_US, strangers=0.08)  # too much when the core is full
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.MAX_PENALTY_US, 100)
+    spans(load_shedder, 30, load.OVERLOAD_DELAY_US, strangers=0.02)
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (
+        load.MIN_PENALTY_US,
+        load.MIN_PENALTY_COUNT,
+    )
+    assert load_shedder.penalties(16) == load.MIN_PENALTY_COUNT
 
 
 def test_as_many_are_refused_early_as_must_be(load_shedder: LoadShedder) -> None:
     """All or none at a level left two thirds of a full core's work undone, and swung."""
     shares = list[float]()
-    for late_us in (load.HARD_LATE_US, load.HARD_LATE_US, int(load.HARD_LATE_US * 0.7), 0, 0, 0, 0, 0, 0, 0):
+    for late_us in (
+        load.OVERLOAD_DELAY_US,
+        load.OVERLOAD_DELAY_US,
+        int(load.OVERLOAD_DELAY_US * 0.7),
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+    ):
         spans(load_shedder, 1, late_us)
         shares.append(load_shedder.refused_share)
     assert shares[:5] == pytest.approx([0.25, 0.5, 0.5, 0.3, 0.18]) and shares[-1] == 0.0
     load_shedder.refused_share = 0.3
-    refused = [bool(load_shedder.refuses()) for _ in range(40)]
+    refused = [bool(load_shedder.early_refusal_us()) for _ in range(40)]
     assert sum(refused) in (11, 12) and all(1 <= sum(refused[n : n + 8]) <= 3 for n in range(32))
-    spans(load_shedder, 1, load.HARD_LATE_US)
-    assert load_shedder.level is Level.HARD
+    spans(load_shedder, 1, load.OVERLOAD_DELAY_US)
+    assert load_shedder.level is Level.OVERLOADED
 
 
 def test_connections_wait_while_strangers_use_more_than_their_share_of_a_full_core(
@@ -129,30 +148,30 @@
 ) -> None:
     load_shedder.wasted(10 * SECOND_US)
     assert load_shedder.pace_us(0) == 0  # the core has room
-    spans(load_shedder, 1, load.TIGHT_LATE_US)
-    now, taken = load.SPAN_US, 0
+    spans(load_shedder, 1, load.ELEVATED_DELAY_US)
+    now, taken = load.WINDOW_US, 0
     load_shedder.pace_us(now)
     load_shedder._debt_us = 0.0
     while now < 20 * SECOND_US:  # each comes as soon as it may, and costs a millisecond
         if wait_us := load_shedder.pace_us(now):
-            assert wait_us <= load.PACE_MOST_US
+            assert wait_us <= load.MAX_PACING_DELAY_US
             now += wait_us
         else:
             load_shedder.wasted(1 * MS)
             now, taken = now + 1 * MS, taken + 1
-    share = load.STRANGERS_SHARE[Level.TIGHT]
-    assert taken * MS == pytest.approx(19.5 * SECOND_US * share + load.DEBT_US, rel=0.05)
+    share = load.NEW_CLIENT_SHARES[Level.ELEVATED]
+    assert taken * MS == pytest.approx(19.5 * SECOND_US * share + load.MAX_DEBT_US, rel=0.05)
 
 
 def test_a_core_on_which_strangers_are_paced_is_still_full(load_shedder: LoadShedder) -> None:
-    spans(load_shedder, 1, load.TIGHT_LATE_US)
-    for _ in range(3 * load.EASY_SPANS):
+    spans(load_shedder, 1, load.ELEVATED_DELAY_US)
+    for _ in range(3 * load.EASE_WINDOW_COUNT):
         load_shedder.wasted(5 * SECOND_US)
         assert load_shedder.pace_us(load_shedder._test_now)  # type: ignore[attr-defined]
         spans(load_shedder, 1, 0)
     levels = [load_shedder.level]
-    spans(load_shedder, load.EASY_SPANS, 0)
-    assert [*levels, load_shedder.level] == [Level.TIGHT, Level.CALM]
+    spans(load_shedder, load.EASE_WINDOW_COUNT, 0)
+    assert [*levels, load_shedder.level] == [Level.ELEVATED, Level.CALM]
 
 
 class Keeper:
@@ -251,11 +270,11 @@
 async def test_a_full_core_parts_with_a_request_that_comes_in_by_single_bytes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(load, "STRANGER_MOST_US", 3 * MS)
-    monkeypatch.setattr(load, "PIECES_US", SECOND_US)  # else it comes in larger pieces
+    monkeypatch.setattr(load, "MAX_CLIENT_TIME_US", 3 * MS)
+    monkeypatch.setattr(load, "SLOW_READ_COST_US", SECOND_US)  # else it comes in larger pieces
     async with Rig(tmp_path, silent) as rig:
         began, client = asyncio.get_running_loop().time(), await rig.client()
-        rig.sender.exchange.load_shedder.level = Level.TIGHT
+        rig.sender.exchange.load_shedder.level = Level.ELEVATED
         with contextlib.suppress(OSError):  # it is closed while we write
             for byte in b"*5\r\n$6\r\nSUBMIT\r\n$9000\r\n" + b"x" * 8000:
                 if client.stream.ended:
@@ -282,10 +301,10 @@
     """On a full machine good requests were refused: a process not run for 20 ms blamed who stood there."""
     async with Rig(tmp_path, silent) as rig:
         front = rig.sender.fronts[0][0]
-        front.load_shedder.level, talk = Level.TIGHT, front.talk
+        front.load_shedder.level, talk = Level.ELEVATED, front.talk
 
         async def talks(stream: Stream) -> None:
-            step(3 * load.STRANGER_MOST_US / 1e6)
+            step(3 * load.MAX_CLIENT_TIME_US / 1e6)
             await talk(stream)
 
         front.talk = talks  # type: ignore[method-assign]
@@ -317,10 +336,10 @@
 async def test_a_full_core_reads_single_bytes_together_and_ends_them_in_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(load, "PIECES_US", 300)
+    monkeypatch.setattr(load, "SLOW_READ_COST_US", 300)
     async with Rig(tmp_path, silent) as rig:
         loop, front, steps = asyncio.get_running_loop(), rig.sender.fronts[0][0], list[float]()
-        rig.sender.exchange.load_shedder.level = Level.TIGHT
+        rig.sender.exchange.load_shedder.level = Level.ELEVATED
         charge = front._charge
         front._charge = lambda stream, us: (steps.append(us), charge(stream, us))[1]  # type: ignore
         began, client, sent = loop.time(), await rig.client(), 0
@@ -405,8 +424,8 @@
 def test_time_of_one_that_makes_a_good_request_is_given_back(load_shedder: LoadShedder) -> None:
     load_shedder.spent(400 * MS)
     load_shedder.spent(-400 * MS)
-    spans(load_shedder, 1, load.TIGHT_LATE_US)
-    assert load_shedder.share == 0.0
+    spans(load_shedder, 1, load.ELEVATED_DELAY_US)
+    assert load_shedder.new_client_share == 0.0
 
 
 @on_loop
--- a/tests/test_mgmt.py
+++ b/tests/test_mgmt.py
@@ -147,7 +147,7 @@
             reply = answer(detach, rig.sender)
             assert reply.status == 507 and b"No space left" in reply.body and reply.body.count(b"\n") == 1
             assert not rig.sender.exchange.table.listed("i0")
-        while rig.sender.unkept:
+        while rig.sender.unwritten_bans:
             await asyncio.sleep(0.01)
         assert BanFile(tmp_path).changed() == {"i0"}
         assert answer(detach, rig.sender).status == 200
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -60,7 +60,7 @@
             for platform in (second, third):
                 process.configure(platform)
                 process.child.send_signal(signal.SIGHUP)
-                await process.logged("configuration is taken over")
+                await process.logged("the new configuration is in force")
             assert (await third.notice("m1"))["outcome"] == "given_up"
             while not any(r.target.startswith("/v1/servers?index=1") for r in third.requests):
                 await third.asked(len(third.requests) + 1)
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -108,7 +108,7 @@
             before = None
         self.journal.open()
         self.exchange = Exchange(self.settings, self.rng.randint(1, 1 << 30), self, self.journal, TICK)
-        self.exchange.side = self
+        self.exchange.endpoint_calls = self
         self.exchange.listeners["platform"] = self.ended
         self.exchange.list_instances(
             UpdateScope.FULL, [i for i in self.instances if i.name not in self.closed]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,10 +14,10 @@
 from rowanrack.app import serve
 from rowanrack.fronts.platform.discovery import DiscoveryWatch
 from rowanrack.net.http import Reply
-from rowanrack.shutdown import Limits, Phase, Shutdown
+from rowanrack.shutdown import Phase, Shutdown, ShutdownLimits
 from tests.rig import Platform, Process, Rig, answers, on_loop, silent
 
-LIMITS = Limits()
+LIMITS = ShutdownLimits()
 MS = 1000
 
 
@@ -25,46 +25,46 @@
     """A sequence whose clock and parts the test moves."""
 
     def __init__(self, successor: bool = False) -> None:
-        self.now_us, self.successor, self.is_settled = 7_000_000, successor, False
-        self.done = list[tuple[str, int]]()
+        self.now_us, self.successor, self.all_settled = 7_000_000, successor, False
+        self.steps_taken = list[tuple[str, int]]()
         self.shutdown = Shutdown(self, lambda: self.now_us)
-        self.told_us = self.now_us
+        self.requested_at_us = self.now_us
 
-    def takes_over(self) -> bool:
+    def successor_takes_over(self) -> bool:
         return self.successor
 
     def drain(self) -> None:
-        self.done.append(("drain", self.now_us - self.told_us))
+        self.steps_taken.append(("drain", self.now_us - self.requested_at_us))
 
     def freeze(self) -> None:
-        self.done.append(("freeze", self.now_us - self.told_us))
+        self.steps_taken.append(("freeze", self.now_us - self.requested_at_us))
 
     def settled(self) -> bool:
-        return self.is_settled
+        return self.all_settled
 
     def reach(self, phase: Phase) -> None:
         """Come to a phase by the usual way, and not a microsecond further."""
         if phase is Phase.STARTING:
             return
-        self.shutdown.owns()
+        self.shutdown.mark_messages_owned()
         if phase is Phase.OPENING:
             return
-        self.shutdown.serves()
+        self.shutdown.mark_ports_open()
         if phase is Phase.SERVING:
             return
-        self.tell()
+        self.request()
         while self.shutdown.phase is not phase:
             self.now_us += self.shutdown.advance()
 
-    def tell(self) -> None:
-        self.told_us = self.now_us
-        self.shutdown.tell()
+    def request(self) -> None:
+        self.requested_at_us = self.now_us
+        self.shutdown.request()
 
-    def run_out(self) -> int:
+    def run_until_exit(self) -> int:
         """To the end; when that is, in microseconds since SIGTERM."""
         while wait_us := self.shutdown.advance():
             self.now_us += wait_us
-        return self.now_us - self.told_us
+        return self.now_us - self.requested_at_us
 
 
 @pytest.mark.parametrize(
@@ -74,34 +74,41 @@
 def test_what_does_not_settle_is_left_in_time(successor: bool, steps: list[tuple[str, int]]) -> None:
     sequence = Sequence(successor)
     sequence.reach(Phase.SERVING)
-    sequence.tell()
-    assert sequence.run_out() == LIMITS.settle_us
-    assert sequence.done == steps and sequence.shutdown.log_end_us() == 400 * MS
+    sequence.request()
+    assert sequence.run_until_exit() == LIMITS.settle_until_us
+    assert sequence.steps_taken == steps and sequence.shutdown.log_close_timeout_us() == 400 * MS
 
 
-@pytest.mark.parametrize("phase", [Phase.STILL_COMING, Phase.DRAINING, Phase.FROZEN])
+@pytest.mark.parametrize("phase", [Phase.ACCEPTING, Phase.DRAINING, Phase.FROZEN])
 def test_it_leaves_once_all_is_settled_but_not_while_new_connections_come(phase: Phase) -> None:
     sequence = Sequence()
     sequence.reach(phase)
-    sequence.is_settled = True
-    at_us = sequence.now_us - sequence.told_us
-    assert sequence.run_out() == max(at_us, LIMITS.still_coming_us)
-    assert sequence.shutdown.log_end_us() == LIMITS.log_end_us
+    sequence.all_settled = True
+    at_us = sequence.now_us - sequence.requested_at_us
+    assert sequence.run_until_exit() == max(at_us, LIMITS.accept_until_us)
+    assert sequence.shutdown.log_close_timeout_us() == LIMITS.max_log_close_us
 
 
-@pytest.mark.parametrize("phase", [Phase.STILL_COMING, Phase.DRAINING, Phase.FROZEN, Phase.LEFT])
+@pytest.mark.parametrize("phase", [Phase.ACCEPTING, Phase.DRAINING, Phase.FROZEN, Phase.EXITED])
 def test_a_second_sigterm_changes_nothing(phase: Phase) -> None:
-    sequence, undisturbed = Sequence(), Sequence()
-    for each in (sequence, undisturbed):
+    sequence, reference = Sequence(), Sequence()
+    for each in (sequence, reference):
         each.reach(phase)
-    sequence.shutdown.tell()
-    assert (sequence.run_out(), sequence.done) == (undisturbed.run_out(), undisturbed.done)
+    sequence.shutdown.request()
+    assert (sequence.run_until_exit(), sequence.steps_taken) == (
+        reference.run_until_exit(),
+        reference.steps_taken,
+    )
 
 
 def test_sigterm_ahead_of_what_is_owned_ends_the_start() -> None:
     sequence = Sequence()
-    sequence.tell()
-    assert sequence.shutdown.phase is Phase.LEFT and sequence.run_out() == 0 and not sequence.done
+    sequence.request()
+    assert (
+        sequence.shutdown.phase is Phase.EXITED
+        and sequence.run_until_exit() == 0
+        and not sequence.steps_taken
+    )
 
 
 @pytest.mark.parametrize(
@@ -118,24 +125,27 @@
 ) -> None:
     sequence = Sequence()
     sequence.reach(Phase.OPENING)
-    sequence.tell()
+    sequence.request()
     sequence.now_us += late_us
-    sequence.shutdown.serves()
-    assert sequence.run_out() == max(late_us, LIMITS.settle_us)
-    assert sequence.done == steps
+    sequence.shutdown.mark_ports_open()
+    assert sequence.run_until_exit() == max(late_us, LIMITS.settle_until_us)
+    assert sequence.steps_taken == steps
 
 
 @pytest.mark.parametrize(
     ("phase", "successor"),
-    [(Phase.STILL_COMING, False), (Phase.DRAINING, False), (Phase.FROZEN, False), (Phase.FROZEN, True)],
+    [(Phase.ACCEPTING, False), (Phase.DRAINING, False), (Phase.FROZEN, False), (Phase.FROZEN, True)],
 )
 def test_a_successor_that_comes_or_goes_later_changes_nothing(phase: Phase, successor: bool) -> None:
     """What is owed here stays here, or goes on in the next process, as it was decided at SIGTERM."""
-    sequence, undisturbed = Sequence(successor), Sequence(successor)
-    for each in (sequence, undisturbed):
+    sequence, reference = Sequence(successor), Sequence(successor)
+    for each in (sequence, reference):
         each.reach(phase)
     sequence.successor = not successor
-    assert (sequence.run_out(), sequence.done) == (undisturbed.run_out(), undisturbed.done)
+    assert (sequence.run_until_exit(), sequence.steps_taken) == (
+        reference.run_until_exit(),
+        reference.steps_taken,
+    )
 
 
 @pytest.mark.parametrize("readings", range(1, 6))
@@ -143,23 +153,23 @@
     """A clock that goes on with each reading: the sender must not leave before it has drained."""
     sequence = Sequence()
     sequence.reach(Phase.SERVING)
-    sequence.tell()
-    sequence.now_us += LIMITS.still_coming_us - readings  # it passes with that reading
+    sequence.request()
+    sequence.now_us += LIMITS.accept_until_us - readings  # it passes with that reading
 
     def now_us() -> int:
         sequence.now_us += 1
         return sequence.now_us
 
     sequence.shutdown._now_us = now_us
-    assert sequence.run_out() >= LIMITS.settle_us and sequence.shutdown.phase is Phase.LEFT
-    assert [name for name, _ in sequence.done] == ["drain", "freeze"]
+    assert sequence.run_until_exit() >= LIMITS.settle_until_us and sequence.shutdown.phase is Phase.EXITED
+    assert [name for name, _ in sequence.steps_taken] == ["drain", "freeze"]
 
 
 def test_a_phase_does_not_come_again() -> None:
     sequence = Sequence()
     sequence.reach(Phase.DRAINING)
-    with pytest.raises(ValueError, match="draining is not followed by serving"):
-        sequence.shutdown.serves()
+    with pytest.raises(ValueError, match="cannot change from phase draining to serving"):
+        sequence.shutdown.mark_ports_open()
 
 
 # In real processes and on real sockets.
@@ -223,12 +233,12 @@
             if not told:
                 os.kill(os.getpid(), signal.SIGTERM)
                 told.append(loop.time())
-                await asyncio.sleep(LIMITS.still_coming_us / 1e6)
+                await asyncio.sleep(LIMITS.accept_until_us / 1e6)
             return await plain(*args, **kwargs)  # type: ignore[arg-type]
 
         monkeypatch.setattr(loop, "getaddrinfo", tell_while_opening)
         await serve(rig.config)
-        assert loop.time() - told[0] < 2 * LIMITS.still_coming_us / 1e6
+        assert loop.time() - told[0] < 2 * LIMITS.accept_until_us / 1e6
 
 
 @on_loop
