--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -15,7 +15,7 @@
 from rowanrack.channels_io.memory_links import Hub
 from rowanrack.channels_io.server import SitesServer
 from tests.rig import after, on_loop
-from tests.test_core import Desk
+from tests.test_core import ExchangeHarness
 
 TIMEOUT_US = 300_000
 End = tuple[bytes | None, int, str]
@@ -68,7 +68,7 @@
 
 @asynccontextmanager
 async def over_http(folder: Path, twin: Twin = sound) -> AsyncIterator[World]:
-    site, exchange = Site(), Desk(folder).exchange
+    site, exchange = Site(), ExchangeHarness(folder).exchange
     exchange.after = after  # type: ignore[method-assign, assignment]
     servers: list[SitesServer] = []
 
--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -23,7 +23,7 @@
 from rowanrack.net.stream import Stream
 from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import instance
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 from tests.test_list_clock import Wire, framed, pass_time
 
 
@@ -37,7 +37,7 @@
     drains: bool = False
 
 
-class Desk2(Desk):
+class Desk2(ExchangeHarness):
     """A desk that notes which idle connections it was told to close."""
 
     def __init__(self, folder: Path) -> None:
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -18,7 +18,7 @@
 from rowanrack.net.http import Reply, Request
 from rowanspindle import Result, UpdateScope
 from tests.rig import Rig, answers, instance, on_loop
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 
 PLACE = instance("i0", 1)
 
@@ -310,8 +310,8 @@
 # Who waits for whom.
 
 
-def bulk_desk(folder: Path) -> Desk:
-    return Desk(folder, BULKY)
+def bulk_desk(folder: Path) -> ExchangeHarness:
+    return ExchangeHarness(folder, BULKY)
 
 
 def test_giving_one_message_up_does_not_cut_the_others_off(tmp_path: Path) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core without sockets: the wheel, and what the exchange keeps to whatever the module decides."""
+"""The core without sockets: the timer wheel, and what the exchange guarantees whatever is decided."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 SECOND_US = 1_000_000
 
 
-class Desk:
-    """An exchange with its ports in hand: the clock stands still, and calls are kept."""
+class ExchangeHarness:
+    """An exchange whose ports the test controls: the clock stands still, and calls are only recorded."""
 
     def __init__(self, folder: Path, given: dict[str, Any] | None = None) -> None:
         self.now = 1000 * SECOND_US
         self.calls: list[Attempt] = []
         self.abandoned: list[Attempt] = []
-        self.how_far = Progress.SENT
+        self.call_progress = Progress.SENT
         self.ends: dict[str, End] = {}
         self.journal = Journal(folder, 3_000_000, self.unix_us)
         self.journal.open()
@@ -54,104 +54,108 @@
 
     def progress(self, batch: Batch) -> Progress:
         assert batch.attempts
-        return self.how_far
+        return self.call_progress
 
     def close_idle(self, name: str) -> None:
         assert name
 
     def run(self, us: int) -> None:
-        """Let time pass, tick by tick."""
+        """Advance the time tick by tick."""
         for _ in range(0, us, 5000):
             self.now += 5000
             self.exchange.pump()
 
     def submit(self, message_id: str, cls: str = "print-order") -> Attempt:
-        """Hand a message in, and return its attempt."""
+        """Submit a message, and return its latest attempt."""
         self.exchange.submit(Message(message_id, cls, "a", 7, self.now + 3 * SECOND_US, b"x", "platform"))
         self.run(10_000)
         return self.calls[-1]
 
 
 @pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-def test_a_call_that_waits_for_its_connection_heeds_a_drain(tmp_path: Path, status: EndpointStatus) -> None:
-    desk = Desk(tmp_path)
-    attempt = desk.submit("m1")
-    desk.exchange.list_instances(UpdateScope.DELTA, [replace(instance("i0", 1), status=status)])
-    assert not desk.exchange.begin(attempt) and desk.abandoned == [attempt]
+def test_call_waiting_for_a_connection_is_dropped_when_its_endpoint_drains(
+    tmp_path: Path, status: EndpointStatus
+) -> None:
+    harness = ExchangeHarness(tmp_path)
+    attempt = harness.submit("m1")
+    harness.exchange.list_instances(UpdateScope.DELTA, [replace(instance("i0", 1), status=status)])
+    assert not harness.exchange.begin(attempt) and harness.abandoned == [attempt]
 
 
-def test_a_call_that_waits_for_its_connection_heeds_a_told_wait(tmp_path: Path) -> None:
-    desk = Desk(tmp_path)
-    first, second = desk.submit("m1"), desk.submit("m2")
-    assert first is not second and desk.exchange.begin(first)
-    desk.exchange.settle(first, CallVerdict(Result.FULL, SECOND_US))
-    assert not desk.exchange.begin(second)
-    desk.run(SECOND_US + 600_000)
-    assert desk.exchange.begin(desk.calls[2])
+def test_call_waiting_for_a_connection_obeys_a_retry_after_wait(tmp_path: Path) -> None:
+    harness = ExchangeHarness(tmp_path)
+    first, second = harness.submit("m1"), harness.submit("m2")
+    assert first is not second and harness.exchange.begin(first)
+    harness.exchange.settle(first, CallVerdict(Result.FULL, SECOND_US))
+    assert not harness.exchange.begin(second)
+    harness.run(SECOND_US + 600_000)
+    assert harness.exchange.begin(harness.calls[2])
 
 
-def test_a_message_has_its_end_even_if_the_module_fails(
+def test_message_gets_a_final_answer_even_if_the_decision_module_fails(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    desk = Desk(tmp_path)
-    desk.submit("m1")
+    harness = ExchangeHarness(tmp_path)
+    harness.submit("m1")
 
     def broken(*_: object) -> None:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(desk.exchange.forwarder, "decide", broken)
-    desk.run(3 * SECOND_US + 250_000)
-    assert desk.ends == {"m1": End(Ending.FAILED)}
-
-
-def test_only_the_first_end_counts(tmp_path: Path) -> None:
-    desk = Desk(tmp_path)
-    attempt = desk.submit("m1")
-    assert desk.exchange.begin(attempt)
-    desk.exchange.settle(attempt, Result.OK)
-    desk.exchange.settle(attempt, Result.RESET)
-    desk.exchange._perform(Fail(attempt.message.ref), desk.now)
-    assert desk.ends == {"m1": End(Ending.DELIVERED)}
-    assert desk.exchange.counts[Ending.DELIVERED] == 1 and desk.exchange.counts[Ending.FAILED] == 0
-
-
-def test_a_time_out_before_the_first_byte_has_never_run(tmp_path: Path) -> None:
-    desk = Desk(tmp_path)
-    attempt = desk.submit("m1")
-    desk.exchange._stop_waiting(attempt, Result.TIMEOUT)
-    assert not attempt.message.unsettled and not desk.journal.owed["m1"].unsettled
-
-
-def test_a_frozen_exchange_begins_nothing_and_keeps_what_it_owes(tmp_path: Path) -> None:
-    """Calls begun right before the exit were cut off, and an order among them was lost."""
-    desk = Desk(tmp_path)
-    attempt = desk.submit("m1")
-    assert desk.exchange.begin(attempt)
-    desk.exchange.submit(Message("m2", "print-order", "a", 7, desk.now + 3 * SECOND_US, b"x", "platform"))
-    desk.exchange.freeze()
-    desk.exchange.settle(attempt, Result.OK)
-    desk.run(SECOND_US)
-    assert desk.ends == {"m1": End(Ending.DELIVERED)} and list(desk.journal.owed) == ["m2"]
-    assert len(desk.calls) == 1
-
-
-def test_what_the_journal_cannot_record_does_not_begin(
+    monkeypatch.setattr(harness.exchange.forwarder, "decide", broken)
+    harness.run(3 * SECOND_US + 250_000)
+    assert harness.ends == {"m1": End(Ending.FAILED)}
+
+
+def test_only_the_first_final_answer_counts(tmp_path: Path) -> None:
+    harness = ExchangeHarness(tmp_path)
+    attempt = harness.submit("m1")
+    assert harness.exchange.begin(attempt)
+    harness.exchange.settle(attempt, Result.OK)
+    harness.exchange.settle(attempt, Result.RESET)
+    harness.exchange._perform(Fail(attempt.message.ref), harness.now)
+    assert harness.ends == {"m1": End(Ending.DELIVERED)}
+    assert harness.exchange.counts[Ending.DELIVERED] == 1 and harness.exchange.counts[Ending.FAILED] == 0
+
+
+def test_attempt_that_timed_out_before_its_first_byte_counts_as_never_run(tmp_path: Path) -> None:
+    harness = ExchangeHarness(tmp_path)
+    attempt = harness.submit("m1")
+    harness.exchange._stop_waiting(attempt, Result.TIMEOUT)
+    assert not attempt.message.unsettled and not harness.journal.owed["m1"].unsettled
+
+
+def test_frozen_exchange_begins_no_call_and_keeps_its_messages(tmp_path: Path) -> None:
+    """Calls that began right before the exit were cut off, and a non-repeatable message was lost that way."""
+    harness = ExchangeHarness(tmp_path)
+    attempt = harness.submit("m1")
+    assert harness.exchange.begin(attempt)
+    harness.exchange.submit(
+        Message("m2", "print-order", "a", 7, harness.now + 3 * SECOND_US, b"x", "platform")
+    )
+    harness.exchange.freeze()
+    harness.exchange.settle(attempt, Result.OK)
+    harness.run(SECOND_US)
+    assert harness.ends == {"m1": End(Ending.DELIVERED)} and list(harness.journal.owed) == ["m2"]
+    assert len(harness.calls) == 1
+
+
+def test_attempt_that_the_journal_cannot_record_does_not_begin(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    desk = Desk(tmp_path)
-    attempt = desk.submit("m1")
+    harness = ExchangeHarness(tmp_path)
+    attempt = harness.submit("m1")
     monkeypatch.setattr(Journal, "_append", lambda *_: False)
-    assert not desk.exchange.begin(attempt) and not attempt.message.unsettled
+    assert not harness.exchange.begin(attempt) and not attempt.message.unsettled
 
 
-def test_a_whole_list_replaces_only_its_source(tmp_path: Path) -> None:
-    desk = Desk(tmp_path)
-    desk.exchange.list_instances(UpdateScope.FULL, [instance("c0", 2), instance("c1", 3)], "consul")
-    desk.exchange.list_instances(UpdateScope.FULL, [instance("c1", 3)], "consul")
-    assert desk.exchange.table.names() == {"i0", "c1"}
+def test_full_list_replaces_only_entries_of_its_source(tmp_path: Path) -> None:
+    harness = ExchangeHarness(tmp_path)
+    harness.exchange.list_instances(UpdateScope.FULL, [instance("c0", 2), instance("c1", 3)], "consul")
+    harness.exchange.list_instances(UpdateScope.FULL, [instance("c1", 3)], "consul")
+    assert harness.exchange.table.names() == {"i0", "c1"}
 
 
-def test_the_wheel_fires_in_order_at_whole_ticks_and_never_early() -> None:
+def test_wheel_fires_in_order_at_whole_ticks_and_never_early() -> None:
     wheel, fired = TimerWheel(5000, 0), list[str]()
     wheel.at(12_000, lambda: fired.append("b"))
     wheel.at(4_000, lambda: fired.append("a"))
@@ -166,7 +170,7 @@
     assert fired == ["a", "past", "b"] and wheel.next_at() is None
 
 
-def test_a_timer_that_fails_stops_no_other(caplog: pytest.LogCaptureFixture) -> None:
+def test_failing_timer_does_not_stop_others(caplog: pytest.LogCaptureFixture) -> None:
     wheel, fired = TimerWheel(5000, 0), list[str]()
     wheel.at(5000, lambda: fired.append(str(1 // 0)))
     wheel.at(5000, lambda: fired.append("b"))
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -15,7 +15,7 @@
 from rowanspindle import Result
 from tests.contracts.stores import Disk
 from tests.rig import SETTINGS, Process, Rig, answers, on_loop
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 from tests.test_parts import peek
 
 
@@ -68,7 +68,7 @@
 def test_what_is_owed_goes_on_in_its_reserved_room(
     tmp_path: Path, disk: Disk, caplog: pytest.LogCaptureFixture, then_ends: bool
 ) -> None:
-    desk = Desk(tmp_path, {"limits": SETTINGS["limits"] | {"most_held": 500}})
+    desk = ExchangeHarness(tmp_path, {"limits": SETTINGS["limits"] | {"most_held": 500}})
     attempt = desk.submit("m1")
     assert desk.journal._compact()  # the new file has that room too
     disk.mode = "full"
@@ -90,7 +90,7 @@
 
 
 def test_a_sender_with_nothing_else_to_do_looks_whether_there_is_room(tmp_path: Path, disk: Disk) -> None:
-    desk = Desk(tmp_path)
+    desk = ExchangeHarness(tmp_path)
     desk.run(SECOND_US)
     disk.mode = "refuses"
     assert desk.exchange.submit(order(desk, "m1")) is not None
@@ -99,7 +99,7 @@
 
 
 def test_a_record_that_was_not_written_goes_ahead_of_the_next(tmp_path: Path, disk: Disk) -> None:
-    desk = Desk(tmp_path)
+    desk = ExchangeHarness(tmp_path)
     messages = [order(desk, name) for name in ("a", "b")]
     assert all(desk.journal.take(m) for m in messages)
     disk.fails_at = disk.writes + 1
@@ -121,13 +121,13 @@
     assert journal.slot == "messages" and journal.take(Message("m", "c", "t", 3, SECOND_US, b"", "platform"))
 
 
-def order(desk: Desk, name: str) -> Message:
+def order(desk: ExchangeHarness, name: str) -> Message:
     return Message(name, "print-order", "a", 7, desk.now + 3 * SECOND_US, b"x", "platform")
 
 
 def test_a_disk_that_refuses_uses_up_no_attempts_and_blames_nobody(tmp_path: Path, disk: Disk) -> None:
     """Each call was stopped at its first byte and made anew in the next round, until no attempt was left."""
-    desk = Desk(tmp_path)
+    desk = ExchangeHarness(tmp_path)
     first = desk.submit("m1")
     assert desk.exchange.begin(first) and desk.exchange.submit(order(desk, "m2")) is None
     disk.mode = "refuses"
@@ -144,7 +144,7 @@
 
 
 def test_what_is_over_behind_a_full_disk_is_written_in_order(tmp_path: Path, disk: Disk) -> None:
-    desk = Desk(tmp_path)
+    desk = ExchangeHarness(tmp_path)
     first = desk.submit("m1")
     assert desk.exchange.begin(first) and desk.exchange.submit(order(desk, "m2")) is None
     disk.mode = "refuses"
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,4 +1,4 @@
-"""Instances that go and come under ever new names: what is kept by name ends with them."""
+"""Endpoints that are replaced under ever new names: all state kept by name is dropped with them."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 
 @pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
 @on_loop
-async def test_connections_end_with_their_instance(tmp_path: Path, status: EndpointStatus) -> None:
-    """They stayed open for seconds, and counted against what the address's next instance takes."""
+async def test_idle_connections_close_when_their_endpoint_drains_or_is_removed(
+    tmp_path: Path, status: EndpointStatus
+) -> None:
+    """Connections used to stay open for seconds, and counted against the next endpoint at that address."""
     async with Rig(tmp_path, answers(OK)) as rig:
         await (await rig.client()).submit("m1")
         await rig.ended("m1")
@@ -28,12 +30,12 @@
         assert len(pool.idle["i0"]) == 1
         (serving,) = stand_in.tasks
         rig.sender.exchange.list_instances(UpdateScope.DELTA, [replace(rig.known[0], status=status)])
-        await asyncio.wait({serving})  # it has seen the end of its connection
+        await asyncio.wait({serving})  # the endpoint has seen the end of its connection
         assert not pool.idle and not pool._aged
 
 
 @on_loop
-async def test_an_answer_of_one_that_has_gone_leaves_no_connection(tmp_path: Path) -> None:
+async def test_answer_of_a_removed_endpoint_leaves_no_idle_connection(tmp_path: Path) -> None:
     answer = asyncio.Event()
 
     async def held_up(_request: object) -> Reply:
@@ -52,8 +54,8 @@
 
 
 @on_loop
-async def test_what_a_hundred_names_leave_behind_is_nothing(tmp_path: Path) -> None:
-    """Each takes the address of the last, tells a wait where routes are apart, serves and goes."""
+async def test_no_state_is_left_after_a_hundred_endpoint_names(tmp_path: Path) -> None:
+    """Each endpoint takes over the address of the previous one, asks for a wait, and is removed."""
     async with Rig(tmp_path, answers(OK)) as rig:
         client, exchange = await rig.client(), rig.sender.exchange
         for n in range(100):
@@ -79,10 +81,10 @@
         (Ending.FAILED, False, 40, False),
     ],
 )
-def test_ends_are_forgotten_behind_their_message_but_not_before_their_notice(
+def test_final_answers_are_dropped_after_the_deadline_but_not_before_their_notice(
     tmp_path: Path, end: Ending, told: bool, after_s: int, kept: bool
 ) -> None:
-    """They were kept for 30 s, and memory grew all through a day of one minute."""
+    """Final answers used to be kept for 30 s, so memory kept growing at a high message rate."""
     now = [0]
     journal = Journal(tmp_path, 3_000_000, lambda: now[0], keep_us_of={"platform": 1_000_000})
     journal.open()
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys, from the front to the call, and the time for which they hold, across a restart too."""
+"""Idempotency keys from the front end to the call, and how long they are valid, also after a restart."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from rowanspindle import Result
 from rowanspindle.wire import parse_settings
 from tests.rig import MAPPING, SETTINGS, Rig, answers, on_loop
-from tests.test_core import Desk
+from tests.test_core import ExchangeHarness
 
 SECOND_US = 1_000_000
 PARSED = parse_settings(json.dumps(SETTINGS))
@@ -35,11 +35,11 @@
         (",k=5c0f6e1a2b3d4c59", "entry-fee", "5c0f6e1a2b3d4c59"),
         (",k=a=b", "entry-fee", "a=b"),
         (",k=" + "x" * 256, "entry-fee", "x" * 256),
-        (",k=abc", "album-update", "abc"),  # passed on unchanged where no class asks for it
+        (",k=abc", "album-update", "abc"),  # forwarded unchanged although the class does not require a key
         ("", "print-order", ""),
     ],
 )
-def test_a_key_is_read(more: str, cls: str, key: str) -> None:
+def test_key_is_read_from_submit(more: str, cls: str, key: str) -> None:
     assert read_submit(listed(more, cls), PARSED, 0).key == key
 
 
@@ -54,13 +54,13 @@
         (",k=" + "x" * 257, "entry-fee", "ERR bad k"),
     ],
 )
-def test_a_bad_key_is_said_so(more: str, cls: str, text: str) -> None:
+def test_invalid_or_missing_key_is_refused(more: str, cls: str, text: str) -> None:
     with pytest.raises(RespError, match=text):
         read_submit(listed(more, cls), PARSED, 0)
 
 
 @on_loop
-async def test_each_attempt_carries_the_key_and_no_other_class_has_one(tmp_path: Path) -> None:
+async def test_each_attempt_carries_its_key_and_other_classes_carry_none(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(Reply(500, {}), Reply(200, {}))) as rig:
         client = await rig.client()
         await client.submit("m1", "entry-fee", key="5c0f")
@@ -71,7 +71,7 @@
 
 
 @on_loop
-async def test_a_key_outlasts_the_process(tmp_path: Path) -> None:
+async def test_key_survives_a_restart(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(Reply(500, {}))) as rig:
         await (await rig.client()).submit("m1", "entry-fee", key="5c0f", d=20_000)
         await rig.servers[0].asked(1)
@@ -87,7 +87,7 @@
     return Message(name, "entry-fee", "a", 7, 2000 * SECOND_US, b"x", "platform", "f", "k1")
 
 
-def test_the_journal_keeps_a_key_and_when_its_time_began(tmp_path: Path) -> None:
+def test_journal_keeps_a_key_and_the_start_of_its_validity(tmp_path: Path) -> None:
     now = [1000 * SECOND_US]
     journal = Journal(tmp_path, 3_000_000, lambda: now[0])
     journal.open()
@@ -111,7 +111,7 @@
     other.close()
 
 
-def test_records_of_earlier_versions_are_read(tmp_path: Path) -> None:
+def test_journal_records_of_earlier_versions_are_read(tmp_path: Path) -> None:
     texts = (b"old", b"c", b"t", b"platform", b"f", b"body")
     taken = TAKEN + pack_text(*texts) + (5).to_bytes(8, "little") + (3).to_bytes(8, "little")
     journal = Journal(tmp_path, 3_000_000, lambda: 0)
@@ -131,68 +131,68 @@
 @pytest.mark.parametrize(
     ("gone_s", "goes", "given"), [(3, True, SETTINGS), (5, False, SETTINGS), (1, False, ZONED)]
 )
-def test_a_repeat_after_a_restart_stays_inside_the_time_of_its_key(
+def test_repeat_after_a_restart_is_sent_only_while_its_key_is_valid(
     tmp_path: Path, gone_s: int, goes: bool, given: dict[str, Any]
 ) -> None:
-    """The time counted from the restart, so that a repeat could take effect twice."""
-    desk = Desk(tmp_path, given)
-    message = replace(keyed(), deadline_us=desk.now + 15 * SECOND_US, attempts_made=1)
-    message.unsettled = {0: desk.now - gone_s * SECOND_US}
-    desk.journal.take(message)
-    desk.exchange.adopt(message)
-    desk.run(10_000)
-    assert bool(desk.calls) is goes
-    assert bool(desk.ends) is not goes
-
-
-def test_a_repeat_that_waits_for_its_connection_heeds_the_time_of_its_key(tmp_path: Path) -> None:
-    desk = Desk(tmp_path)
-    message = replace(keyed(), deadline_us=desk.now + 15 * SECOND_US)
-    desk.exchange.submit(message)
-    desk.run(10_000)
-    assert desk.exchange.begin(desk.calls[0])
-    desk.exchange.settle(desk.calls[0], Result.ERROR)
-    while len(desk.calls) < 2:
-        desk.run(5000)
-    desk.now += 4 * SECOND_US
-    assert len(desk.calls) == 2 and not desk.exchange.begin(desk.calls[1])
-
-
-def test_a_repeat_whose_key_ends_while_the_store_records_it_does_not_go(
+    """Guards against counting the key's time from the restart, which let a repeat take effect twice."""
+    harness = ExchangeHarness(tmp_path, given)
+    message = replace(keyed(), deadline_us=harness.now + 15 * SECOND_US, attempts_made=1)
+    message.unsettled = {0: harness.now - gone_s * SECOND_US}
+    harness.journal.take(message)
+    harness.exchange.adopt(message)
+    harness.run(10_000)
+    assert bool(harness.calls) is goes
+    assert bool(harness.ends) is not goes
+
+
+def test_repeat_waiting_for_a_connection_is_dropped_when_its_key_expires(tmp_path: Path) -> None:
+    harness = ExchangeHarness(tmp_path)
+    message = replace(keyed(), deadline_us=harness.now + 15 * SECOND_US)
+    harness.exchange.submit(message)
+    harness.run(10_000)
+    assert harness.exchange.begin(harness.calls[0])
+    harness.exchange.settle(harness.calls[0], Result.ERROR)
+    while len(harness.calls) < 2:
+        harness.run(5000)
+    harness.now += 4 * SECOND_US
+    assert len(harness.calls) == 2 and not harness.exchange.begin(harness.calls[1])
+
+
+def test_repeat_is_dropped_when_its_key_expires_while_being_recorded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A journal that is compacted, or a slow disk, holds the sender up between the look and the call."""
-    desk = Desk(tmp_path)
-    desk.exchange.submit(replace(keyed(), deadline_us=desk.now + 15 * SECOND_US))
-    desk.run(10_000)
-    assert desk.exchange.begin(desk.calls[0])
-    desk.exchange.settle(desk.calls[0], Result.ERROR)
-    desk.run(SECOND_US)
+    """A compaction of the journal or a slow disk can delay the sender between the check and the call."""
+    harness = ExchangeHarness(tmp_path)
+    harness.exchange.submit(replace(keyed(), deadline_us=harness.now + 15 * SECOND_US))
+    harness.run(10_000)
+    assert harness.exchange.begin(harness.calls[0])
+    harness.exchange.settle(harness.calls[0], Result.ERROR)
+    harness.run(SECOND_US)
     record = Journal.begin
 
     def record_late(journal: Journal, message: Message, attempt_number: int) -> bool:
-        desk.now += 4 * SECOND_US
+        harness.now += 4 * SECOND_US
         return record(journal, message, attempt_number)
 
     monkeypatch.setattr(Journal, "begin", record_late)
-    assert not desk.exchange.begin(desk.calls[1])
-    assert list(desk.calls[1].message.unsettled) == list(desk.journal.owed["m1"].unsettled) == [0]
+    assert not harness.exchange.begin(harness.calls[1])
+    assert list(harness.calls[1].message.unsettled) == list(harness.journal.owed["m1"].unsettled) == [0]
 
 
-def test_a_repeat_inside_one_zone_goes_while_its_key_holds(tmp_path: Path) -> None:
-    """Only a restart loses where the first attempt ran; without one each repeat was stopped for nothing."""
-    desk = Desk(tmp_path, ZONED)
-    desk.exchange.submit(replace(keyed(), deadline_us=desk.now + 15 * SECOND_US))
-    desk.run(10_000)
-    assert desk.exchange.begin(desk.calls[0])
-    desk.exchange.settle(desk.calls[0], Result.ERROR)
-    desk.run(SECOND_US)
-    assert desk.exchange.begin(desk.calls[1])
-    desk.exchange.settle(desk.calls[1], Result.OK)
-    assert desk.ends == {"m1": End(Ending.DELIVERED)}
+def test_repeat_within_one_zone_is_sent_while_its_key_is_valid(tmp_path: Path) -> None:
+    """Only a restart loses the zone of the first attempt; without one, repeats must not be stopped."""
+    harness = ExchangeHarness(tmp_path, ZONED)
+    harness.exchange.submit(replace(keyed(), deadline_us=harness.now + 15 * SECOND_US))
+    harness.run(10_000)
+    assert harness.exchange.begin(harness.calls[0])
+    harness.exchange.settle(harness.calls[0], Result.ERROR)
+    harness.run(SECOND_US)
+    assert harness.exchange.begin(harness.calls[1])
+    harness.exchange.settle(harness.calls[1], Result.OK)
+    assert harness.ends == {"m1": End(Ending.DELIVERED)}
 
 
-def test_otlp_takes_the_key_from_its_map_else_the_id() -> None:
+def test_otlp_key_comes_from_the_map_or_else_the_id() -> None:
     mapping = replace(MAPPING, cls=Source(default="entry-fee"), key=Source(header="x-key"))
 
     def key(**headers: str) -> str:
@@ -201,7 +201,8 @@
 
     assert key(x_id="m1", x_key="k1") == "k1"
     assert key(x_id="m1") == "m1"
-    assert len(key(x_id="m 1")) == 32  # no header carries that id
+    # an id with a blank cannot be sent in a header, so another key is generated
+    assert len(key(x_id="m 1")) == 32
     with pytest.raises(OtlpError, match="bad key"):
         key(x_id="m1", x_key="k 1")
     assert replace(mapping, cls=Source(default="print-order")).message(PARSED, {}, (), b"", "", 0).key == ""
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -31,12 +31,12 @@
 from tests import rig as shared
 from tests.rig import SETTINGS, Rig, entry, instance, on_loop
 from tests.rig import silent as silent_endpoint
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 
 OLD, NEW = 1, 2  # discovery's ports
 
 
-async def pass_time(desk: Desk, until: int, look: Callable[[], None] = lambda: None) -> None:
+async def pass_time(desk: ExchangeHarness, until: int, look: Callable[[], None] = lambda: None) -> None:
     """Let a desk's time pass up to there, from one thing that is due to the next."""
     while True:
         desk.exchange.pump()
@@ -94,7 +94,7 @@
     """Discovery in a desk's time: i0 is listed, and drains at 3 s."""
 
     def __init__(self, folder: Path, *plan: Part, news_s: float = 3.0, **given: Any) -> None:
-        self.desk = Desk(folder, SETTINGS | given)
+        self.desk = ExchangeHarness(folder, SETTINGS | given)
         self.exchange, self.began = self.desk.exchange, self.desk.now
         self.plan, self.seq = list(plan), 5
         self.hosts = {"i0": (5, entry("i0", 1))}
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -22,7 +22,7 @@
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import LoopClock
 from tests.rig import Rig, on_loop, resp, silent
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 from tests.test_otlp import logs
 
 MS = 1000
@@ -464,7 +464,7 @@
 @pytest.mark.parametrize("entry", ["run_overdue_round", "submit", "too_busy"])
 def test_a_message_has_its_end_though_every_round_is_late(tmp_path: Path, entry: str) -> None:
     """A core that was full came to its rounds late, and a message owed got no end in its time."""
-    desk, told = Desk(tmp_path), dict[str, int]()
+    desk, told = ExchangeHarness(tmp_path), dict[str, int]()
     desk.exchange.listeners["platform"] = lambda m, end: told.update({m.id: desk.now - m.deadline_us})
     desk.submit("order")  # out, with no answer
     for n in range(6):
@@ -484,7 +484,7 @@
 
 
 def test_what_a_round_ends_is_told_in_the_round(tmp_path: Path) -> None:
-    desk, told = Desk(tmp_path), list[str]()
+    desk, told = ExchangeHarness(tmp_path), list[str]()
     desk.exchange.listeners["platform"] = lambda m, end: told.append(m.id)
     desk.exchange.round_over = lambda: told.append("over")
     desk.submit("order")
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -1,4 +1,4 @@
-"""What `pip install` makes of the repository."""
+"""The contents of the wheel that `pip install` builds."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_wheel_holds_every_package_and_its_data(tmp_path: Path) -> None:
-    """`rowanrack.fronts.mgmt` was in no list of packages: what pip installed could not start."""
+def test_wheel_contains_every_package_and_its_data(tmp_path: Path) -> None:
+    """`rowanrack.fronts.mgmt` was missing from the packages, so an installed sender could not start."""
     build = "import setuptools.build_meta as b, sys; print(b.build_wheel(sys.argv[1]))"
     copied = tmp_path / "tree"
     data = (ROOT.glob(f"rowan*/**/{what}") for what in ("*.py", "*.scenario", "*.toml", "py.typed"))
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -42,7 +42,7 @@
 )
 from rowanrack.record.recorder import Disk, Recorder
 from rowanspindle import Result
-from tests.test_core import Desk
+from tests.test_core import ExchangeHarness
 from tests.test_model import cli
 from tests.test_parts import SITE
 
@@ -148,7 +148,7 @@
 
 def test_a_sender_records_what_happens_and_no_body_and_no_id(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
-    desk = Desk(tmp_path / "state")
+    desk = ExchangeHarness(tmp_path / "state")
     recorder = Recorder("desk", desk.exchange, Now(tmp_path / "a.rec"))  # type: ignore[arg-type]
     recorder.start()
     attempt = desk.submit("secret-id")
@@ -229,7 +229,7 @@
 ) -> None:
     """And nothing goes on from it: a file whose first record says nothing of the sender cannot be read."""
     (tmp_path / "state").mkdir()
-    desk, disk = Desk(tmp_path / "state"), Disk(tmp_path / "rec", "s", 2_000)
+    desk, disk = ExchangeHarness(tmp_path / "state"), Disk(tmp_path / "rec", "s", 2_000)
     recorder = Recorder("s", desk.exchange, disk)
     recorder.start()
     disk.close()
@@ -251,7 +251,7 @@
 
     monkeypatch.setattr(FileWriter, "append", fails)
     (tmp_path / "state").mkdir()
-    desk = Desk(tmp_path / "state")
+    desk = ExchangeHarness(tmp_path / "state")
     disk = Disk(tmp_path / "rec", "s", 1 << 20)
     recorder = Recorder("s", desk.exchange, disk)
     recorder.start()
@@ -280,7 +280,7 @@
 
 def test_a_disk_that_does_not_keep_up_leaves_a_gap_that_is_counted(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
-    desk, now = Desk(tmp_path / "state"), Now(tmp_path / "a.rec")
+    desk, now = ExchangeHarness(tmp_path / "state"), Now(tmp_path / "a.rec")
     recorder = Recorder("s", desk.exchange, now)  # type: ignore[arg-type]
     recorder.start()
     recorder.flush()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: a new configuration is taken over whole or not at all, and nothing owed or under way is lost."""
+"""SIGHUP: a new configuration is applied completely or not at all, and no message or call is lost."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("bad", ["{", "[]", "{}", "no discovery", "bad address", "bad list", "bad settings"])
 @on_loop
-async def test_a_bad_file_is_logged_and_the_old_one_stays(tmp_path: Path, bad: str) -> None:
+async def test_invalid_file_is_logged_and_the_old_configuration_stays(tmp_path: Path, bad: str) -> None:
     async with Rig(tmp_path, answers(OK)) as rig, Process(rig, tmp_path) as process:
         doc = json.loads(process.config.read_text())
         spoilt = {
@@ -38,8 +38,8 @@
 
 
 @on_loop
-async def test_watch_and_notices_move_and_calls_go_on(tmp_path: Path) -> None:
-    """Twice in a row, then a restart: what was pending at the old address is told at the newest."""
+async def test_reload_redirects_watch_and_notices_without_affecting_calls(tmp_path: Path) -> None:
+    """Reload twice, then restart: notices pending for the old address are sent to the newest one."""
     release = asyncio.Event()
 
     async def held_up(request: Request) -> Reply | None:
@@ -52,7 +52,7 @@
         process.platform.notice_status = [503]
         client = await process.client()
         assert await client.submit("m1", "print-order") == b"+OK\r\n"  # its notice stays pending
-        assert await client.submit("m2", "print-order") == b"+OK\r\n"  # its call is out all the time
+        assert await client.submit("m2", "print-order") == b"+OK\r\n"  # its call stays open throughout
         await rig.servers[0].asked(2)
         second, third = Platform(), Platform()
         second.notice_status = [503]
@@ -75,7 +75,7 @@
 
 
 @on_loop
-async def test_a_watch_waits_for_a_new_address_that_opens_late(tmp_path: Path) -> None:
+async def test_watch_retries_a_new_address_until_it_opens(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         await rig.platform.asked(1)
         late = Platform()
@@ -84,7 +84,7 @@
         config = rig.sender.config
         assert config.platform is not None
         rig.sender.reload(replace(config, platform=replace(config.platform, discovery=("127.0.0.1", port))))
-        async with rig.platform.news:  # the old address has no caller any more
+        async with rig.platform.news:  # nothing connects to the old address any more
             assert len(rig.platform.requests) == 1
         while rig.sender.watch is not None and rig.sender.watch.failed < 3:
             await asyncio.sleep(0)
@@ -95,7 +95,7 @@
 
 
 @on_loop
-async def test_a_reload_takes_over_instances_and_the_otlp_map(tmp_path: Path) -> None:
+async def test_reload_applies_endpoints_and_the_otlp_map(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK), silent) as rig:
         config, sender = rig.sender.config, rig.sender
         assert config.otlp is not None
@@ -114,7 +114,7 @@
 
 
 @on_loop
-async def test_what_a_reload_may_not_change_is_named(tmp_path: Path) -> None:
+async def test_settings_that_need_a_restart_are_named(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         config = rig.sender.config
         assert config.platform is not None and config.otlp is not None
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""A restart with settings that do not fit what is owed, and a decision module that fails on one event."""
+"""Restarts with settings that do not fit the outstanding messages; failures of the decision module."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 OK = answers(Reply(200, {}))
 
 
-def regraded(**changes: Any) -> dict[str, Any]:
-    """The settings with `album-update` changed; without it where the effect is None."""
+def settings_with_changed_class(**changes: Any) -> dict[str, Any]:
+    """Return the settings with `album-update` changed, or removed if its effect is None."""
     doc = deepcopy(SETTINGS)
     doc["grades"][0].update(changes)
     if doc["grades"][0]["effect"] is None:
@@ -30,15 +30,15 @@
 
 
 async def restart(rig: Rig, doc: dict[str, Any]) -> None:
-    """The next process on the rig's folder, with other settings."""
+    """Start the next process on the rig's folder with other settings."""
     rig.sender.close()
     rig.settings = parse_settings(json.dumps(doc))
     await rig.start()
 
 
 @on_loop
-async def test_a_class_that_is_gone_takes_nothing_else_with_it(tmp_path: Path) -> None:
-    """The module failed on the message, and with it went the list and all that was owed beside it."""
+async def test_message_of_a_removed_class_does_not_affect_other_messages(tmp_path: Path) -> None:
+    """The module failed on such a message, and the round's endpoint list and other messages were lost."""
     async with Rig(tmp_path, silent) as rig:
         rig.once_listed(99)
         client = await rig.client()
@@ -49,7 +49,7 @@
         await client.submit("fee", "entry-fee", key="k")
         await rig.servers[0].asked(2)
         rig.servers[0].behave = OK
-        await restart(rig, regraded(effect=None))
+        await restart(rig, settings_with_changed_class(effect=None))
         assert (await rig.platform.notice("untried"))["outcome"] == "handed_back"
         assert (await rig.platform.notice("begun"))["outcome"] == "given_up"
         await rig.until(lambda: rig.sender.exchange.counts[Ending.DELIVERED] == 1)
@@ -57,8 +57,10 @@
 
 
 @on_loop
-async def test_what_came_by_a_front_that_is_gone_is_delivered_and_blames_nobody(tmp_path: Path) -> None:
-    """Each attempt counted as a failed connection: six were used up, and the endpoint was put out."""
+async def test_message_from_a_removed_front_end_is_delivered_without_blaming_the_endpoint(
+    tmp_path: Path,
+) -> None:
+    """Each attempt counted as a failed connection: all six were used up, and the endpoint was taken out."""
     async with Rig(tmp_path, silent) as rig:
         export = asyncio.ensure_future(rig.export(logs(), x_class="album-update", x_left_ms="3000"))
         await rig.servers[0].asked(1)
@@ -70,36 +72,36 @@
         assert rig.sender.exchange.ejected == 0
 
 
-async def owed(rig: Rig, *ids: str, d: int = 1500) -> None:
-    """Messages that are taken and cannot go: the only endpoint of their destination has gone."""
+async def submit_undeliverable(rig: Rig, *ids: str, d: int = 1500) -> None:
+    """Submit messages that cannot be sent, because their destination's only endpoint has been removed."""
     rig.once_listed(99)
     client = await rig.client()
     for message_id in ids:
         assert await client.submit(message_id, d=d, dest=99) == b"+OK\r\n"
-    rig.known = (instance("back", rig.servers[0].port, 99),)  # for the next process
+    rig.known = (instance("back", rig.servers[0].port, 99),)  # listed when the next process starts
 
 
 @pytest.mark.parametrize(("tried", "outcome"), [(False, "handed_back"), (True, "given_up")])
 @on_loop
-async def test_what_came_without_a_key_is_not_called_as_keyed(
+async def test_message_without_a_key_is_not_sent_after_its_class_became_keyed(
     tmp_path: Path, tried: bool, outcome: str
 ) -> None:
-    """Taken while its class was safe, its repeat went out without a key: nobody could have dropped it."""
+    """Its class was repeatable at first and keyed later, and the repeat went out without a key."""
     async with Rig(tmp_path, answers(None, Reply(200, {}))) as rig:
         if tried:
             rig.servers[0].behave = silent
             await (await rig.client()).submit("m1")
             await rig.servers[0].asked(1)
         else:
-            await owed(rig, "m1")
-        await restart(rig, regraded(effect="dedup", key_ttl_us=4_000_000))
+            await submit_undeliverable(rig, "m1")
+        await restart(rig, settings_with_changed_class(effect="dedup", key_ttl_us=4_000_000))
         assert (await rig.platform.notice("m1"))["outcome"] == outcome
         assert len(rig.servers[0].requests) == tried
 
 
 @pytest.mark.parametrize("failing", [1, 2, 3])
 @on_loop
-async def test_an_event_that_the_module_fails_on_takes_no_other_with_it(
+async def test_event_on_which_the_module_fails_does_not_affect_other_events(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, failing: int
 ) -> None:
     accept = Forwarder.accept
@@ -110,7 +112,7 @@
         accept(forwarder, event)
 
     async with Rig(tmp_path, OK) as rig:
-        await owed(rig, "m1", "m2", "m3")
+        await submit_undeliverable(rig, "m1", "m2", "m3")
         monkeypatch.setattr(Forwarder, "accept", picky)
         await restart(rig, SETTINGS)
         await rig.platform.notice(f"m{failing}")
@@ -120,17 +122,17 @@
 
 
 @on_loop
-async def test_what_was_decided_before_the_module_failed_is_done(
+async def test_actions_decided_before_the_module_failed_are_carried_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The send was lost, and the module took its slot to be in use from then on."""
+    """The send was lost, and the module believed its slot to be in use for ever."""
 
     def broken(_forwarder: Forwarder) -> None:
         monkeypatch.undo()
         raise ZeroDivisionError
 
     async with Rig(tmp_path, OK) as rig:
-        monkeypatch.setattr(Forwarder, "close_idle", broken)  # behind the dispatch
+        monkeypatch.setattr(Forwarder, "close_idle", broken)  # runs after the sends have been decided
         await (await rig.client()).submit("m1", d=1500)
         assert (await rig.ended("m1")).ending is Ending.DELIVERED
         await (await rig.client()).submit("m2")
@@ -139,14 +141,15 @@
 
 
 @on_loop
-async def test_a_process_owns_what_another_beside_it_leaves_when_it_dies(tmp_path: Path) -> None:
-    """It had looked once, at its own start: what a process that came later had taken on was lost."""
+async def test_process_takes_over_messages_of_another_one_that_dies(tmp_path: Path) -> None:
+    """A process looked for other journals only at its start, and missed those of later processes."""
     async with Rig(tmp_path, OK) as rig:
         first = rig.sender
-        assert await (await rig.client()).command("PING") == b"+PONG\r\n"  # it has looked by then
+        # by now it has looked for other journals
+        assert await (await rig.client()).command("PING") == b"+PONG\r\n"
         await rig.start()
-        await owed(rig, "m1", d=5000)
-        rig.sender.close()  # as after SIGKILL
+        await submit_undeliverable(rig, "m1", d=5000)
+        rig.sender.close()  # the journal stays as after SIGKILL
         rig.sender = first
         first.exchange.list_instances(UpdateScope.FULL, rig.known)
         await rig.until(lambda: first.exchange.counts[Ending.DELIVERED] == 1)
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -1,4 +1,4 @@
-"""The rules hold whatever a deployment's settings are: drawn settings and peers against a plain checker."""
+"""The delivery rules hold for all settings: generated settings and endpoints, and a plain checker."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from rowanspindle.wire import WireError, parse_settings
 from tests.rig import SETTINGS, Rig, answers, on_loop
 
-SECOND_US, TICK = 1_000_000, 5000
-SLACK_US = 300_000  # past a message's time, by which it has its end
+SECOND_US, TICK_US = 1_000_000, 5000
+MAX_ANSWER_DELAY_US = 300_000  # latest time of a final answer after the deadline
 EFFECTS = ("retryable", "dedup", "fragile")
 
 
-def drawn(rng: Random) -> dict[str, Any]:
-    """Settings over the range of the deployments that are known, and somewhat beyond."""
+def generate_settings(rng: Random) -> dict[str, Any]:
+    """Generate settings from the range of the known deployments and somewhat beyond."""
     kinds = ["big", "small"][: rng.randint(1, 2)]
     grades = [
         {
@@ -75,14 +75,15 @@
     }
 
 
-class World:
-    """An exchange among peers that do anything they may, and the checks of what it does to them."""
+class CheckedEnvironment:
+    """An exchange among endpoints that do anything they may, with checks of each action of the exchange."""
 
     def __init__(self, folder: Path, rng: Random) -> None:
         self.rng, self.now = rng, 1000 * SECOND_US
-        self.settings: Settings = parse_settings(json.dumps(drawn(rng)))
+        self.settings: Settings = parse_settings(json.dumps(generate_settings(rng)))
         self.folder = folder
-        self.due: list[tuple[int, int, Batch]] = []  # when a batch's connection is open, or its answer comes
+        # when the connection for a batch opens, or its answer arrives
+        self.due: list[tuple[int, int, Batch]] = []
         self.out: dict[Batch, list[Attempt]] = {}
         self.open: set[Batch] = set()
         self.ends: dict[str, tuple[int, End]] = {}
@@ -100,14 +101,14 @@
         self.start_process()
 
     def start_process(self) -> None:
-        """The next process on the folder, after a kill or, as at a hot restart, beside one that leaves."""
+        """Start the next process on the folder, after a kill or beside one that exits as at a hot restart."""
         before, self.started = getattr(self, "journal", None), self.now
         self.journal = Journal(self.folder, 3_000_000, self.unix_us, attempts=self.settings.try_limit)
         if before is not None and self.rng.random() < 0.5:
             kill(before)
             before = None
         self.journal.open()
-        self.exchange = Exchange(self.settings, self.rng.randint(1, 1 << 30), self, self.journal, TICK)
+        self.exchange = Exchange(self.settings, self.rng.randint(1, 1 << 30), self, self.journal, TICK_US)
         self.exchange.endpoint_calls = self
         self.exchange.listeners["platform"] = self.ended
         self.exchange.list_instances(
@@ -124,13 +125,13 @@
             self.exchange.adopt(message)
 
     def restart(self) -> None:
-        """What is out ends with its process, and may have run; a told wait ends too. Settings may change."""
+        """Restart: open calls end and may have run, waits are forgotten, and the settings may change."""
         for part in self.out.values():
             self.results.update((e, Result.RESET) for e in part)
         self.open, self.out, self.due, self.waits = set(), {}, [], {}
         self.now += self.rng.choice([0, 100_000, 600_000, 5 * SECOND_US])
         if self.rng.random() < 0.5:
-            self.settings = parse_settings(json.dumps(drawn(self.rng)))
+            self.settings = parse_settings(json.dumps(generate_settings(self.rng)))
         self.start_process()
 
     def now_us(self) -> int:
@@ -144,7 +145,7 @@
     def close_idle(self, name: str) -> None:
         assert name
 
-    # The instances' side, with its checks.
+    # The endpoints' side, with its checks.
 
     def start(self, batch: Batch) -> None:
         most = self.settings.kinds.get(batch.endpoint.kind, DestinationKind()).batch
@@ -180,7 +181,7 @@
         return out or self.results.get(attempt, Result.CANCELLED) not in never
 
     def begin(self, attempt: Attempt) -> None:
-        """The checks of a call's first byte."""
+        """Check that the first byte of a call may be sent."""
         message, cls = attempt.message, self.settings.classes[attempt.message.cls]
         assert attempt.endpoint.dest == message.dest
         assert attempt.endpoint.name not in self.closed
@@ -215,7 +216,7 @@
                     self.over(batch)
                     continue
                 self.out[batch] = part
-                if self.rng.random() < 0.9:  # else never
+                if self.rng.random() < 0.9:  # otherwise there is no answer
                     later = self.now + int(self.rng.expovariate(1 / 400_000))
                     self.due.append((later, id(batch), batch))
 
@@ -241,7 +242,7 @@
 
     def ended(self, message: Message, end: End) -> None:
         assert message.id not in self.ends, "two ends"
-        assert self.now <= max(message.deadline_us, self.started) + SLACK_US
+        assert self.now <= max(message.deadline_us, self.started) + MAX_ANSWER_DELAY_US
         if end.ending is Ending.REFUSED:
             cls, ran = self.settings.classes.get(message.cls), self.begun.get(message.id, [])
             repeatable = cls is not None and (
@@ -251,7 +252,7 @@
             assert repeatable or not any(self.may_have_run(e) for _, e in ran)
         self.ends[message.id] = self.now, end
 
-    def hand_in(self, number: int) -> None:
+    def submit_message(self, number: int) -> None:
         cls = self.rng.choice(list(self.settings.classes.values()))
         tenant = self.rng.choice([*self.settings.tenants, ""])
         left = self.rng.choice([cls.deadline_us, cls.deadline_us // 3])
@@ -272,7 +273,7 @@
 
 
 def kill(journal: Journal) -> None:
-    """As by SIGKILL: the kernel keeps what was written, and lets go of the lock."""
+    """Close a journal's files as SIGKILL does: written data stays, and the lock is released."""
     assert journal.file is not None
     for descriptor in (journal.file.fd, journal.lock_fd):
         os.close(descriptor)
@@ -291,28 +292,28 @@
 
 
 def check_rules(seed: int, restarts: float) -> None:
-    """Hand in messages among bad peers, with restarts at this chance a tick; each has its one end in time."""
+    """Submit messages and restart with this probability per tick; each gets one final answer in time."""
     with TemporaryDirectory() as folder:
-        world, rng, number = World(Path(folder), Random(seed)), Random(seed + 1), 0
-        while world.taken.keys() - world.ends.keys() or number < 120:
-            world.now += TICK
-            assert world.now < 1400 * SECOND_US, "some have no end"
+        environment, rng, number = CheckedEnvironment(Path(folder), Random(seed)), Random(seed + 1), 0
+        while environment.taken.keys() - environment.ends.keys() or number < 120:
+            environment.now += TICK_US
+            assert environment.now < 1400 * SECOND_US, "some have no end"
             if number < 120 and rng.random() < 0.15:
                 for _ in range(rng.choice([1, 1, 1, 12])):
                     number += 1
-                    world.hand_in(number)
+                    environment.submit_message(number)
             if rng.random() < 0.002:
-                world.drain()
+                environment.drain()
             if restarts and rng.random() < restarts:
-                world.restart()
-            world.serve()
-            world.exchange.pump()
-        assert set(world.ends) == set(world.taken)
-        world.journal.close()
+                environment.restart()
+            environment.serve()
+            environment.exchange.pump()
+        assert set(environment.ends) == set(environment.taken)
+        environment.journal.close()
 
 
-def graded(**changes: Any) -> dict[str, Any]:
-    """Settings whose classes are all changed alike."""
+def with_class_changes(**changes: Any) -> dict[str, Any]:
+    """Return settings with the same changes to all classes."""
     return {"grades": [grade | changes for grade in SETTINGS["grades"]]}
 
 
@@ -322,28 +323,34 @@
     "one slot, one held, one try": ({"extra": {"slots": 1}}, {"most_held": 1, "try_limit": 1}),
     "500 senders, weights silent": ({"replicas_of_me": 500, "weight_kind": "silent"}, {}),
     "100000 senders, weights nominal": ({"replicas_of_me": 100_000}, {}),
-    "deadline near, aim the same": (graded(slo_us=300_000, deadline_us=300_000), {}),
-    "deadline an hour, no late worth": (graded(deadline_us=3_600_000_000, late_worth=0), {}),
-    "late is as good, worth tiny": (graded(late_worth=1, worth=0.001), {}),
-    "halves of nothing, worth huge": (graded(late_worth=0, worth=1000) | {"extra": {"fades": "halves"}}, {}),
+    "deadline near, aim the same": (with_class_changes(slo_us=300_000, deadline_us=300_000), {}),
+    "deadline an hour, no late worth": (with_class_changes(deadline_us=3_600_000_000, late_worth=0), {}),
+    "late is as good, worth tiny": (with_class_changes(late_worth=1, worth=0.001), {}),
+    "halves of nothing, worth huge": (
+        with_class_changes(late_worth=0, worth=1000) | {"extra": {"fades": "halves"}},
+        {},
+    ),
     "connections that hardly last": ({}, {"keepalive_us": 100_000, "streams_per_conn": 100}),
     "connections beyond any deadline": ({}, {"connect_timeout_us": 3_600_000_000}),
     "no tenants, no kinds": ({"tenants": [], "kinds": []}, {}),
     "51 tenants": ({"tenants": MANY_TENANTS, "over_share_worth": 0}, {}),
     "60 classes": ({"grades": [*SETTINGS["grades"], *MANY_CLASSES]}, {}),
-    "keys of a second": (graded(key_ttl_us=1_000_000), {}),
+    "keys of a second": (with_class_changes(key_ttl_us=1_000_000), {}),
     "ramp of a millisecond": ({"rules": {"cold_share": 1, "ramp_time_us": 1000}}, {}),
     "asked each 100 ms": ({"rules": {"ask_within_us": 100_000, "answer_slack_us": 0}}, {}),
     "asked each ten minutes": ({"rules": {"ask_within_us": 600_000_000}}, {}),
     "nothing but what is needed": ({k: None for k in SETTINGS if k not in ("grades", "limits")}, {}),
-    "unknown keys": (graded(new={"x": [1]}) | {"new": 1, "extra": {"new": None}}, {"new": None}),
-    "whole numbers with a point": (graded(slo_us=5e5, deadline_us=2e7), {"max_retry_after_us": 5e5}),
+    "unknown keys": (with_class_changes(new={"x": [1]}) | {"new": 1, "extra": {"new": None}}, {"new": None}),
+    "whole numbers with a point": (
+        with_class_changes(slo_us=5e5, deadline_us=2e7),
+        {"max_retry_after_us": 5e5},
+    ),
 }
 
 
 @pytest.mark.parametrize(("changed", "limits"), EXTREMES.values(), ids=list(EXTREMES))
 @on_loop
-async def test_a_sender_delivers_and_hands_back_under_extreme_settings(
+async def test_sender_delivers_and_refuses_under_extreme_settings(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, changed: dict[str, Any], limits: dict[str, Any]
 ) -> None:
     async with Rig(tmp_path, answers(Reply(200, {})), given=changed, **limits) as rig:
@@ -358,20 +365,20 @@
 
 
 @pytest.mark.parametrize("key", ["kinds", "azs", "extra", "rules", "prices", "report", "tenants", "zone"])
-def test_what_is_null_counts_as_absent(key: str) -> None:
+def test_null_value_counts_as_absent(key: str) -> None:
     rest = {name: value for name, value in SETTINGS.items() if name != key}
     assert parse_settings(json.dumps(rest | {key: None})) == parse_settings(json.dumps(rest))
 
 
-def test_a_list_that_ends_early_says_nothing_of_the_kinds_behind() -> None:
-    """The shortest list cut all of them off, and with it what the others told."""
+def test_short_list_leaves_defaults_for_the_remaining_kinds() -> None:
+    """The shortest list used to cut off all lists, and with them the values that the others had."""
     extra = {"batch_by_kind": [1, 20], "kind_apart": [True]}
     found = parse_settings(json.dumps(SETTINGS | {"kinds": ["a", "b", "c"], "extra": extra})).kinds
     assert found == {"a": DestinationKind(1, True), "b": DestinationKind(20, False), "c": DestinationKind()}
 
 
 @pytest.mark.parametrize("figure", ["1e999", "NaN", '"x"', "[]", "0.5"])
-def test_a_figure_that_is_none_is_named_as_bad_settings(figure: str) -> None:
+def test_invalid_number_is_reported_as_bad_settings(figure: str) -> None:
     raw = json.dumps(SETTINGS | {"limits": {"most_held": 7777}}).replace("7777", figure)
     with pytest.raises(WireError, match="settings"):
         parse_settings(raw)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a sender: each event in each phase, on a clock of its own and in real processes."""
+"""The shutdown sequence: each event in each phase with a simulated clock, and in real processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Sequence:
-    """A sequence whose clock and parts the test moves."""
+    """A shutdown sequence whose clock and other parts the test controls."""
 
     def __init__(self, successor: bool = False) -> None:
         self.now_us, self.successor, self.all_settled = 7_000_000, successor, False
@@ -43,7 +43,7 @@
         return self.all_settled
 
     def reach(self, phase: Phase) -> None:
-        """Come to a phase by the usual way, and not a microsecond further."""
+        """Advance to a phase in the usual way, and stop as soon as it is reached."""
         if phase is Phase.STARTING:
             return
         self.shutdown.mark_messages_owned()
@@ -61,7 +61,7 @@
         self.shutdown.request()
 
     def run_until_exit(self) -> int:
-        """To the end; when that is, in microseconds since SIGTERM."""
+        """Advance until the sequence exits; return the time since SIGTERM in microseconds."""
         while wait_us := self.shutdown.advance():
             self.now_us += wait_us
         return self.now_us - self.requested_at_us
@@ -71,7 +71,7 @@
     ("successor", "steps"),
     [(False, [("drain", 500 * MS), ("freeze", 2000 * MS)]), (True, [("freeze", 0), ("drain", 0)])],
 )
-def test_what_does_not_settle_is_left_in_time(successor: bool, steps: list[tuple[str, int]]) -> None:
+def test_sequence_exits_in_time_if_calls_do_not_settle(successor: bool, steps: list[tuple[str, int]]) -> None:
     sequence = Sequence(successor)
     sequence.reach(Phase.SERVING)
     sequence.request()
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.ACCEPTING, Phase.DRAINING, Phase.FROZEN])
-def test_it_leaves_once_all_is_settled_but_not_while_new_connections_come(phase: Phase) -> None:
+def test_sequence_exits_once_settled_but_not_while_connections_still_arrive(phase: Phase) -> None:
     sequence = Sequence()
     sequence.reach(phase)
     sequence.all_settled = True
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.ACCEPTING, Phase.DRAINING, Phase.FROZEN, Phase.EXITED])
-def test_a_second_sigterm_changes_nothing(phase: Phase) -> None:
+def test_second_sigterm_has_no_effect(phase: Phase) -> None:
     sequence, reference = Sequence(), Sequence()
     for each in (sequence, reference):
         each.reach(phase)
@@ -101,7 +101,7 @@
     )
 
 
-def test_sigterm_ahead_of_what_is_owned_ends_the_start() -> None:
+def test_sigterm_before_messages_are_owned_ends_the_start() -> None:
     sequence = Sequence()
     sequence.request()
     assert (
@@ -120,7 +120,7 @@
         (4000 * MS, [("drain", 4000 * MS), ("freeze", 4000 * MS)]),
     ],
 )
-def test_the_times_count_from_sigterm_though_the_start_ends_late(
+def test_times_count_from_sigterm_even_if_the_start_ends_later(
     late_us: int, steps: list[tuple[str, int]]
 ) -> None:
     sequence = Sequence()
@@ -136,8 +136,8 @@
     ("phase", "successor"),
     [(Phase.ACCEPTING, False), (Phase.DRAINING, False), (Phase.FROZEN, False), (Phase.FROZEN, True)],
 )
-def test_a_successor_that_comes_or_goes_later_changes_nothing(phase: Phase, successor: bool) -> None:
-    """What is owed here stays here, or goes on in the next process, as it was decided at SIGTERM."""
+def test_successor_appearing_or_leaving_after_sigterm_has_no_effect(phase: Phase, successor: bool) -> None:
+    """SIGTERM decides whether messages stay here or pass to the next process; later changes do not."""
     sequence, reference = Sequence(successor), Sequence(successor)
     for each in (sequence, reference):
         each.reach(phase)
@@ -149,12 +149,12 @@
 
 
 @pytest.mark.parametrize("readings", range(1, 6))
-def test_a_limit_that_passes_within_a_look_ends_nothing_early(readings: int) -> None:
-    """A clock that goes on with each reading: the sender must not leave before it has drained."""
+def test_limit_that_passes_between_two_clock_readings_skips_no_phase(readings: int) -> None:
+    """The clock advances with each reading; the sender must not exit before it has drained."""
     sequence = Sequence()
     sequence.reach(Phase.SERVING)
     sequence.request()
-    sequence.now_us += LIMITS.accept_until_us - readings  # it passes with that reading
+    sequence.now_us += LIMITS.accept_until_us - readings  # the limit passes with that reading
 
     def now_us() -> int:
         sequence.now_us += 1
@@ -165,19 +165,19 @@
     assert [name for name, _ in sequence.steps_taken] == ["drain", "freeze"]
 
 
-def test_a_phase_does_not_come_again() -> None:
+def test_phase_is_never_entered_again() -> None:
     sequence = Sequence()
     sequence.reach(Phase.DRAINING)
     with pytest.raises(ValueError, match="cannot change from phase draining to serving"):
         sequence.shutdown.mark_ports_open()
 
 
-# In real processes and on real sockets.
+# Tests with real processes and sockets.
 
 
 @pytest.mark.parametrize("command", [("serve",), ("serve", "--log", "json")])
-def test_a_sighup_to_a_sender_that_still_imports_its_parts_does_not_end_it(command: tuple[str, ...]) -> None:
-    """A hang-up comes right when the command line's module is looked for: the process ended by the signal."""
+def test_sighup_during_imports_does_not_end_the_process(command: tuple[str, ...]) -> None:
+    """A SIGHUP during the import of the command line's module used to end the process."""
     script = (
         "import os, runpy, signal, sys\n"
         "class Hangup:\n"
@@ -191,14 +191,15 @@
     env = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
     call = [sys.executable, "-c", script]
     ended = subprocess.run(call, env=env, capture_output=True, timeout=30, check=False)
-    assert ended.returncode == 1 and b"rowanrack: " in ended.stderr  # it came to want its configuration
+    # it got as far as reading its configuration
+    assert ended.returncode == 1 and b"rowanrack: " in ended.stderr
 
 
 @on_loop
-async def test_sigterm_while_the_first_list_is_waited_for_ends_the_start_and_begins_nothing(
+async def test_sigterm_while_waiting_for_the_first_list_exits_without_any_call(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The start went on to its end, and the times of the restart counted from there."""
+    """The start used to run to its end, and the shutdown times counted from there instead of from SIGTERM."""
     async with Rig(tmp_path, silent) as rig:
         await (await rig.client()).submit("m1")
         await rig.servers[0].asked(1)
@@ -221,7 +222,7 @@
 
 
 @on_loop
-async def test_sigterm_while_the_ports_open_is_served_out_from_when_it_came(
+async def test_shutdown_times_count_from_a_sigterm_during_port_opening(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with Rig(tmp_path, answers(Reply(200, {}))) as rig:
@@ -242,7 +243,7 @@
 
 
 @on_loop
-async def test_sighup_while_it_ends_moves_what_is_still_to_be_told(tmp_path: Path) -> None:
+async def test_sighup_during_shutdown_redirects_pending_notices(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(None)) as rig, Process(rig, tmp_path) as process:
         process.platform.notice_status = [503]
         assert await (await process.client()).submit("m1", "print-order") == b"+OK\r\n"
