--- a/rowanrack/app.py
+++ b/rowanrack/app.py
@@ -50,9 +50,8 @@
 log = logging.getLogger(__name__)
 
 PLATFORM_RETENTION_US = 1_000_000  # platform clients do not resubmit an id after the message's deadline
-RESERVED_DESCRIPTOR_COUNT = (
-    40  # descriptors for the journal, the ports, discovery, the console, and connections being closed
-)
+# Descriptors for the journal, the ports, discovery, the console, and connections that are being closed.
+RESERVED_DESCRIPTOR_COUNT = 40
 # Interval at which a shared journal is checked until the previous process of a hot restart releases it.
 JOURNAL_RELEASE_CHECK_INTERVAL_US = 100_000
 # Interval at which the journal of a later process is checked, in case that process has died.
@@ -294,8 +293,8 @@
             try:
                 await self.console.listen_at(self.config.console)
             except OSError as error:
-                where = self.config.console
-                raise ConfigError(f"cannot open {where}: {error.strerror or error}") from None
+                path = self.config.console
+                raise ConfigError(f"cannot open {path}: {error.strerror or error}") from None
         log.info("%s: serving; %d messages recovered from the journal", self.config.name, len(outstanding))
 
     @property
@@ -406,9 +405,9 @@
     async def run(self) -> None:
         """Start, serve until SIGTERM or SIGINT, and shut down."""
         starting = asyncio.ensure_future(self.start())
-        told = asyncio.ensure_future(self.stop_requested.wait())
+        stopping = asyncio.ensure_future(self.stop_requested.wait())
         try:
-            await asyncio.wait({starting, told}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({starting, stopping}, return_when=asyncio.FIRST_COMPLETED)
             if self.shutdown.phase is Phase.EXITED:
                 log.info("stopped: told to stop before any message was owned")
                 return
@@ -416,10 +415,10 @@
             self._started = True
             if self._pending_reload is not None:
                 self.reload_from(self._pending_reload)
-            await told
+            await stopping
         finally:
             starting.cancel()
-            told.cancel()
+            stopping.cancel()
         await self.stop()
 
     async def stop(self) -> None:
--- a/rowanrack/config.py
+++ b/rowanrack/config.py
@@ -130,7 +130,7 @@
 
     A reload applies the platform's `discovery`, the endpoints in the file, and OTLP's map and destinations.
     """
-    fixed = (
+    restart_keys = (
         "name",
         "settings",
         "tick_us",
@@ -143,7 +143,7 @@
         "mgmt",
         "channels",
     )
-    changed = [key for key in fixed if getattr(old, key) != getattr(new, key)]
+    changed = [key for key in restart_keys if getattr(old, key) != getattr(new, key)]
     for front in ("platform", "otlp"):
         old_front, new_front = getattr(old, front), getattr(new, front)
         if (old_front and old_front.listen) != (new_front and new_front.listen):
@@ -181,12 +181,12 @@
     if not state or not Path(state).is_dir():
         raise ConfigError("ROUTER_STATE is not a folder")
     try:
-        raw = doc["settings"]
-        settings = parse_settings(json.dumps(raw))
+        raw_settings = doc["settings"]
+        settings = parse_settings(json.dumps(raw_settings))
         # Such a sender also reads the lists through a watch; only the required polling time differs.
         if pushed := not settings.on_request:
             grace_us = value_or_default(
-                value_or_default(raw, "rules", {}), "drain_grace_us", DEFAULT_DRAIN_GRACE_US
+                value_or_default(raw_settings, "rules", {}), "drain_grace_us", DEFAULT_DRAIN_GRACE_US
             )
             poll_within_us = min(settings.ask_within_us, max(1, int(PUSHED_POLL_FACTOR * grace_us)))
             settings = replace(settings, on_request=True, ask_within_us=poll_within_us)
@@ -195,7 +195,7 @@
         return Config(
             name=str(env.get("ROUTER_NAME") or doc["name"]),
             settings=settings,
-            tick_us=int(value_or_default(raw, "resolution_us", DEFAULT_TICK_US)),
+            tick_us=int(value_or_default(raw_settings, "resolution_us", DEFAULT_TICK_US)),
             seed=int(str(value_or_default(doc, "seed", "0")), 16),
             state=Path(state),
             disk_bytes=int(float(value_or_default(limits, "disk_mb", DEFAULT_DISK_MB)) * 1_000_000),
--- a/rowanrack/core/endpoint_list.py
+++ b/rowanrack/core/endpoint_list.py
@@ -38,9 +38,8 @@
         self._listed_by_source: dict[str, dict[str, Endpoint]] = {}
         self._names_by_source: dict[str, set[str]] = {}
         self._endpoint_counts: dict[int, int] = {}  # number of endpoints of each destination that has any
-        self._emptied_at: dict[
-            int, int
-        ] = {}  # when each destination lost its last endpoint, in order of time
+        # When each destination without endpoints lost its last one, in order of time.
+        self._emptied_at: dict[int, int] = {}
 
     def update(
         self, scope: UpdateScope, endpoints: Iterable[Endpoint], source: str = "", now_us: int = 0
--- a/rowanrack/core/exchange.py
+++ b/rowanrack/core/exchange.py
@@ -179,9 +179,8 @@
         self.endpoint_calls: EndpointCalls | None = None
         self.observers: tuple[Observer, ...] = ()
         self.watch: Callable[[], None] = lambda: None
-        self.broadcast_note: Callable[[Note], None] = lambda note: (
-            None
-        )  # sends a gossip note to all other senders
+        # Sends a gossip note to all other senders.
+        self.broadcast_note: Callable[[Note], None] = lambda note: None
         # Called after each round: its final answers can be sent to clients now.
         self.round_over: Callable[[], None] = lambda: None
         self.load_shedder = LoadShedder(clock.now_us())
@@ -243,7 +242,7 @@
         return None
 
     def adopt(self, message: Message, served: bool = True, recovered: bool = False) -> None:
-        """Own a message that the store already holds: newly accepted, or recovered (`found`).
+        """Own a message that the store already holds: newly accepted, or recovered from the journal.
 
         A recovered message ends at once if this process cannot handle it: its front end is no longer
         configured, or the settings have changed so that it is unknown whether a repeated call is safe.
@@ -312,8 +311,8 @@
         """Return the age of the first attempt that may have run; UNKNOWN_AGE_US if unknown, 0 if none."""
         if not message.unsettled:
             return 0
-        since = min(message.unsettled.values())
-        return max(0, self.clock.unix_us() - since) if since else UNKNOWN_AGE_US
+        began_at = min(message.unsettled.values())
+        return max(0, self.clock.unix_us() - began_at) if began_at else UNKNOWN_AGE_US
 
     def _key_expired(self, message: Message) -> bool:
         """Return whether a keyed message may not be repeated because its key has expired at endpoints."""
@@ -377,16 +376,16 @@
 
     @property
     def ejected(self) -> int:
-        """Return how many listed endpoints are detached, or taken out by the decision module."""
+        """Number of listed endpoints that are detached, or taken out by the decision module."""
         listed = self.table.names()
         endpoints = self.forwarder.endpoints.items()
         out = {name for name, e in endpoints if e.out_since is not None and name in listed}
         return len(out | (self.bans & listed))
 
     def _apply_list_change(self, change: EndpointListChange) -> None:
-        left = [i for i in change.changed if i.status is not EndpointStatus.REMOVED]
+        present = [i for i in change.changed if i.status is not EndpointStatus.REMOVED]
         for observer in self.observers:
-            observer.listed(left, list(change.removed))
+            observer.listed(present, list(change.removed))
         self._queue_event(change.update)
         for name in change.closed_to_calls:
             for attempt in list(self._unstarted_attempts.get(name, ())):
@@ -454,17 +453,17 @@
         if wait_us:
             scope = self._wait_scope(attempt)
             self._retry_after_waits.set(scope, max(now + wait_us, self._retry_after_waits.get(scope) or 0))
-        owed = self._is_owned(message)
+        is_owned = self._is_owned(message)
         if attempt.begun and result not in MAYBE_RAN and result is not Result.OK:
             message.unsettled.pop(attempt.attempt_number, None)
-            if owed:
+            if is_owned:
                 self.store.never_ran(message, attempt.attempt_number)
-        if owed and result is Result.OK:
+        if is_owned and result is Result.OK:
             self._end_message(message, End(Ending.DELIVERED))
-        elif owed and end is not None:
+        elif is_owned and end is not None:
             self._end_message(message, End(end))
         message_ended = not self._is_owned(message)
-        latency = now - attempt.started_us
+        latency_us = now - attempt.started_us
         name = attempt.endpoint.name
         self._queue_event(
             Outcome(
@@ -472,7 +471,7 @@
                 attempt.attempt_number,
                 name,
                 result,
-                latency,
+                latency_us,
                 message_ended,
                 wait_us,
                 verdict.left,
@@ -695,15 +694,15 @@
         then would discard the answer of a delivered message. The number of checks is bounded, in case the
         answer never completes.
         """
-        left = [e for e in batch.attempts if not e.settled]
-        if self.endpoint_calls is None or any(e.given_up is None for e in left):
+        unsettled = [e for e in batch.attempts if not e.settled]
+        if self.endpoint_calls is None or any(e.given_up is None for e in unsettled):
             return
-        progress = self.endpoint_calls.progress(batch) if left else Progress.SENT
+        progress = self.endpoint_calls.progress(batch) if unsettled else Progress.SENT
         if progress is Progress.ENDING and remaining_checks:
             self.after(ANSWER_CHECK_INTERVAL_US, lambda: self._close_if_unwanted(batch, remaining_checks - 1))
             return
         self.endpoint_calls.abandon(batch)
-        for attempt in left:
+        for attempt in unsettled:
             result = attempt.given_up or Result.CANCELLED
             self.settle(
                 attempt, RESULT_IF_UNSENT.get(result, result) if progress is Progress.UNSENT else result
@@ -727,9 +726,8 @@
         if self._is_owned(message):
             log.error("message %s had no final answer at its deadline", message.id)
             self._end_message(message, End(Ending.FAILED))
-            self._queue_event(
-                Withdrawn(message.ref)
-            )  # otherwise the module could still send the ended message
+            # Otherwise the module could still send the ended message.
+            self._queue_event(Withdrawn(message.ref))
 
     def _end_message(self, message: Message, end: End) -> None:
         """End a message. This is the only place where that happens."""
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -23,7 +23,7 @@
 class ExchangeHarness:
     """An exchange whose ports the test controls: the clock stands still, and calls are only recorded."""
 
-    def __init__(self, folder: Path, given: dict[str, Any] | None = None) -> None:
+    def __init__(self, folder: Path, overrides: dict[str, Any] | None = None) -> None:
         self.now = 1000 * SECOND_US
         self.calls: list[Attempt] = []
         self.abandoned: list[Attempt] = []
@@ -32,7 +32,7 @@
         self.journal = Journal(folder, 3_000_000, self.unix_us)
         self.journal.open()
         self.exchange = Exchange(
-            parse_settings(json.dumps(SETTINGS | (given or {}))), 1, self, self.journal, 5000
+            parse_settings(json.dumps(SETTINGS | (overrides or {}))), 1, self, self.journal, 5000
         )
         self.exchange.endpoint_calls = self
         self.exchange.listeners["platform"] = lambda m, end: self.ends.update({m.id: end})
@@ -98,10 +98,10 @@
     harness = ExchangeHarness(tmp_path)
     harness.submit("m1")
 
-    def broken(*_: object) -> None:
+    def failing_decide(*_: object) -> None:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(harness.exchange.forwarder, "decide", broken)
+    monkeypatch.setattr(harness.exchange.forwarder, "decide", failing_decide)
     harness.run(3 * SECOND_US + 250_000)
     assert harness.ends == {"m1": End(Ending.FAILED)}
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -26,9 +26,9 @@
     async with Rig(tmp_path, answers(OK)) as rig:
         await (await rig.client()).submit("m1")
         await rig.ended("m1")
-        pool, (stand_in,) = rig.sender.pool, rig.servers
+        pool, (server,) = rig.sender.pool, rig.servers
         assert len(pool.idle["i0"]) == 1
-        (serving,) = stand_in.tasks
+        (serving,) = server.tasks
         rig.sender.exchange.list_instances(UpdateScope.DELTA, [replace(rig.known[0], status=status)])
         await asyncio.wait({serving})  # the endpoint has seen the end of its connection
         assert not pool.idle and not pool._aged
@@ -38,11 +38,11 @@
 async def test_answer_of_a_removed_endpoint_leaves_no_idle_connection(tmp_path: Path) -> None:
     answer = asyncio.Event()
 
-    async def held_up(_request: object) -> Reply:
+    async def delayed_answer(_request: object) -> Reply:
         await answer.wait()
         return OK
 
-    async with Rig(tmp_path, held_up) as rig:
+    async with Rig(tmp_path, delayed_answer) as rig:
         await (await rig.client()).submit("m1")
         await rig.servers[0].asked(1)
         (serving,) = rig.servers[0].tasks
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "told", "after_s", "kept"),
+    ("end", "notice_sent", "after_s", "kept"),
     [
         (Ending.DELIVERED, False, 0, True),
         (Ending.DELIVERED, False, 2, False),
@@ -82,7 +82,7 @@
     ],
 )
 def test_final_answers_are_dropped_after_the_deadline_but_not_before_their_notice(
-    tmp_path: Path, end: Ending, told: bool, after_s: int, kept: bool
+    tmp_path: Path, end: Ending, notice_sent: bool, after_s: int, kept: bool
 ) -> None:
     """Final answers used to be kept for 30 s, so memory kept growing at a high message rate."""
     now = [0]
@@ -91,7 +91,7 @@
     message = Message("m", "c", "t", 3, 5_000_000, b"", "platform")
     journal.take(message)
     journal.end(message, End(end))
-    if told:
+    if notice_sent:
         journal.told("m")
     now[0] = 5_000_000 + after_s * 1_000_000
     for n in range(TIDY_EACH):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -25,7 +25,7 @@
 PARSED = parse_settings(json.dumps(SETTINGS))
 
 
-def listed(more: str, cls: str = "entry-fee") -> list[bytes]:
+def submit_command(more: str, cls: str = "entry-fee") -> list[bytes]:
     return [b"SUBMIT", b"0", b"m1", f"c={cls},d=3000,dest=7{more}".encode(), b"x"]
 
 
@@ -40,7 +40,7 @@
     ],
 )
 def test_key_is_read_from_submit(more: str, cls: str, key: str) -> None:
-    assert read_submit(listed(more, cls), PARSED, 0).key == key
+    assert read_submit(submit_command(more, cls), PARSED, 0).key == key
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
 )
 def test_invalid_or_missing_key_is_refused(more: str, cls: str, text: str) -> None:
     with pytest.raises(RespError, match=text):
-        read_submit(listed(more, cls), PARSED, 0)
+        read_submit(submit_command(more, cls), PARSED, 0)
 
 
 @on_loop
@@ -79,11 +79,11 @@
         rig.servers[0].behave = answers(Reply(200, {}))
         before = len(rig.servers[0].requests)
         await rig.start()
-        again = (await rig.servers[0].asked(before + 1))[-1]
-        assert (again.headers["x-txn"], again.headers["idempotency-key"]) == ("m1", "5c0f")
+        repeat = (await rig.servers[0].asked(before + 1))[-1]
+        assert (repeat.headers["x-txn"], repeat.headers["idempotency-key"]) == ("m1", "5c0f")
 
 
-def keyed(name: str = "m1") -> Message:
+def keyed_message(name: str = "m1") -> Message:
     return Message(name, "entry-fee", "a", 7, 2000 * SECOND_US, b"x", "platform", "f", "k1")
 
 
@@ -91,7 +91,7 @@
     now = [1000 * SECOND_US]
     journal = Journal(tmp_path, 3_000_000, lambda: now[0])
     journal.open()
-    message = keyed()
+    message = keyed_message()
     journal.take(message)
     journal.begin(message, 0)
     message.attempts_made, message.unsettled = 1, {0: now[0]}
@@ -99,55 +99,59 @@
     assert journal._compact()
     journal.begin(message, 1)
     journal.close()
-    again = Journal(tmp_path, 3_000_000, lambda: now[0])
-    again.open()
-    assert again.owed["m1"].key == "k1"
-    assert again.owed["m1"].unsettled == {0: 1000 * SECOND_US, 1: 1001 * SECOND_US}
-    other = Journal(tmp_path, 3_000_000, lambda: now[0])  # the second process of a hot restart
-    other.open()
-    again.close()
-    (taken,) = other.absorb() or []
-    assert (taken.key, taken.unsettled) == ("k1", {0: 1000 * SECOND_US, 1: 1001 * SECOND_US})
-    other.close()
+    reopened = Journal(tmp_path, 3_000_000, lambda: now[0])
+    reopened.open()
+    assert reopened.owed["m1"].key == "k1"
+    assert reopened.owed["m1"].unsettled == {0: 1000 * SECOND_US, 1: 1001 * SECOND_US}
+    second_process = Journal(tmp_path, 3_000_000, lambda: now[0])  # the second process of a hot restart
+    second_process.open()
+    reopened.close()
+    (taken_over,) = second_process.absorb() or []
+    assert (taken_over.key, taken_over.unsettled) == ("k1", {0: 1000 * SECOND_US, 1: 1001 * SECOND_US})
+    second_process.close()
 
 
 def test_journal_records_of_earlier_versions_are_read(tmp_path: Path) -> None:
     texts = (b"old", b"c", b"t", b"platform", b"f", b"body")
-    taken = TAKEN + pack_text(*texts) + (5).to_bytes(8, "little") + (3).to_bytes(8, "little")
+    accepted_record = TAKEN + pack_text(*texts) + (5).to_bytes(8, "little") + (3).to_bytes(8, "little")
     journal = Journal(tmp_path, 3_000_000, lambda: 0)
     journal.open()
-    journal._append(frame(taken))
+    journal._append(frame(accepted_record))
     journal._append(frame(step_record(b"B", "old", 0)))
     journal.close()
-    again = Journal(tmp_path, 3_000_000, lambda: 0)
-    again.open()
-    assert (again.owed["old"].key, again.owed["old"].dest, again.owed["old"].unsettled) == ("", 3, {0: 0})
-    again.close()
+    later = Journal(tmp_path, 3_000_000, lambda: 0)
+    later.open()
+    assert (later.owed["old"].key, later.owed["old"].dest, later.owed["old"].unsettled) == (
+        "",
+        3,
+        {0: 0},
+    )
+    later.close()
 
 
 ZONED = SETTINGS | {"grades": [g | {"group": "zone"} for g in SETTINGS["grades"]]}
 
 
 @pytest.mark.parametrize(
-    ("gone_s", "goes", "given"), [(3, True, SETTINGS), (5, False, SETTINGS), (1, False, ZONED)]
+    ("attempt_age_s", "sent", "settings_doc"), [(3, True, SETTINGS), (5, False, SETTINGS), (1, False, ZONED)]
 )
 def test_repeat_after_a_restart_is_sent_only_while_its_key_is_valid(
-    tmp_path: Path, gone_s: int, goes: bool, given: dict[str, Any]
+    tmp_path: Path, attempt_age_s: int, sent: bool, settings_doc: dict[str, Any]
 ) -> None:
     """Guards against counting the key's time from the restart, which let a repeat take effect twice."""
-    harness = ExchangeHarness(tmp_path, given)
-    message = replace(keyed(), deadline_us=harness.now + 15 * SECOND_US, attempts_made=1)
-    message.unsettled = {0: harness.now - gone_s * SECOND_US}
+    harness = ExchangeHarness(tmp_path, settings_doc)
+    message = replace(keyed_message(), deadline_us=harness.now + 15 * SECOND_US, attempts_made=1)
+    message.unsettled = {0: harness.now - attempt_age_s * SECOND_US}
     harness.journal.take(message)
     harness.exchange.adopt(message)
     harness.run(10_000)
-    assert bool(harness.calls) is goes
-    assert bool(harness.ends) is not goes
+    assert bool(harness.calls) is sent
+    assert bool(harness.ends) is not sent
 
 
 def test_repeat_waiting_for_a_connection_is_dropped_when_its_key_expires(tmp_path: Path) -> None:
     harness = ExchangeHarness(tmp_path)
-    message = replace(keyed(), deadline_us=harness.now + 15 * SECOND_US)
+    message = replace(keyed_message(), deadline_us=harness.now + 15 * SECOND_US)
     harness.exchange.submit(message)
     harness.run(10_000)
     assert harness.exchange.begin(harness.calls[0])
@@ -163,7 +167,7 @@
 ) -> None:
     """A compaction of the journal or a slow disk can delay the sender between the check and the call."""
     harness = ExchangeHarness(tmp_path)
-    harness.exchange.submit(replace(keyed(), deadline_us=harness.now + 15 * SECOND_US))
+    harness.exchange.submit(replace(keyed_message(), deadline_us=harness.now + 15 * SECOND_US))
     harness.run(10_000)
     assert harness.exchange.begin(harness.calls[0])
     harness.exchange.settle(harness.calls[0], Result.ERROR)
@@ -182,7 +186,7 @@
 def test_repeat_within_one_zone_is_sent_while_its_key_is_valid(tmp_path: Path) -> None:
     """Only a restart loses the zone of the first attempt; without one, repeats must not be stopped."""
     harness = ExchangeHarness(tmp_path, ZONED)
-    harness.exchange.submit(replace(keyed(), deadline_us=harness.now + 15 * SECOND_US))
+    harness.exchange.submit(replace(keyed_message(), deadline_us=harness.now + 15 * SECOND_US))
     harness.run(10_000)
     assert harness.exchange.begin(harness.calls[0])
     harness.exchange.settle(harness.calls[0], Result.ERROR)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -369,7 +369,7 @@
         (one.state / "mark").touch()
         await one.start(empty=True)
         assert not (one.state / "mark").exists()
-        assert "; 0 messages owed" in await one.logged("serving")
+        assert "; 0 messages recovered" in await one.logged("serving")
         one.disk_full()
         number, ready = 3, 200
         while ready == 200 and number < 300:  # the journal has some room that the disk gave before
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -77,9 +77,8 @@
     levels = list[Level]()
     for easy in (load.EASE_WINDOW_COUNT - 1, None, load.EASE_WINDOW_COUNT - 1, 1, load.EASE_WINDOW_COUNT):
         if easy is None:
-            spans(
-                load_shedder, 1, int(load.OVERLOAD_DELAY_US * 0.7)
-            )  # not late, nor easy: the count begins anew
+            # Neither overloaded nor eased: the count of eased windows starts again.
+            spans(load_shedder, 1, int(load.OVERLOAD_DELAY_US * 0.7))
         else:
             load_shedder.refused_share = 0.0  # which keeps the level on
             spans(load_shedder, easy, 0)
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -502,7 +502,7 @@
 @pytest.mark.parametrize("form", ["plain", "json"])
 def test_the_log_is_the_same_in_both_forms(form: str) -> None:
     code = (
-        "import logging, sys; from rowanrack import logs; logs.set_up(sys.argv[1]); "
+        "import logging, sys; from rowanrack import logs; logs.set_up_logging(sys.argv[1]); "
         "print('structlog' in sys.modules)\n"
         "logging.getLogger('rowanrack.core').warning('message %s is late', 'm1')\n"
         "try: 1 / 0\nexcept ArithmeticError: logging.getLogger('x').exception('failed')"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -19,18 +19,20 @@
 OK = Reply(200, {})
 
 
-@pytest.mark.parametrize("bad", ["{", "[]", "{}", "no discovery", "bad address", "bad list", "bad settings"])
+@pytest.mark.parametrize(
+    "invalid", ["{", "[]", "{}", "no discovery", "bad address", "bad list", "bad settings"]
+)
 @on_loop
-async def test_invalid_file_is_logged_and_the_old_configuration_stays(tmp_path: Path, bad: str) -> None:
+async def test_invalid_file_is_logged_and_the_old_configuration_stays(tmp_path: Path, invalid: str) -> None:
     async with Rig(tmp_path, answers(OK)) as rig, Process(rig, tmp_path) as process:
         doc = json.loads(process.config.read_text())
-        spoilt = {
+        invalid_docs = {
             "no discovery": doc | {"discovery": ["x"]},
             "bad address": doc | {"discovery": "127.0.0.1:0"},
             "bad list": doc | {"known": {"seq": 1}},
             "bad settings": doc | {"settings": {}},
         }
-        process.config.write_text(json.dumps(spoilt[bad]) if bad in spoilt else bad)
+        process.config.write_text(json.dumps(invalid_docs[invalid]) if invalid in invalid_docs else invalid)
         process.child.send_signal(signal.SIGHUP)
         await process.logged("the old configuration stays")
         assert await (await process.client()).submit("m1") == b"+OK\r\n"
@@ -42,13 +44,13 @@
     """Reload twice, then restart: notices pending for the old address are sent to the newest one."""
     release = asyncio.Event()
 
-    async def held_up(request: Request) -> Reply | None:
+    async def delayed_answer(request: Request) -> Reply | None:
         if request.headers["x-txn"] == "m1":
             return None
         await release.wait()
         return OK
 
-    async with Rig(tmp_path, held_up) as rig, Process(rig, tmp_path) as process:
+    async with Rig(tmp_path, delayed_answer) as rig, Process(rig, tmp_path) as process:
         process.platform.notice_status = [503]
         client = await process.client()
         assert await client.submit("m1", "print-order") == b"+OK\r\n"  # its notice stays pending
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -81,14 +81,14 @@
     rig.known = (instance("back", rig.servers[0].port, 99),)  # listed when the next process starts
 
 
-@pytest.mark.parametrize(("tried", "outcome"), [(False, "handed_back"), (True, "given_up")])
+@pytest.mark.parametrize(("attempted", "outcome"), [(False, "handed_back"), (True, "given_up")])
 @on_loop
 async def test_message_without_a_key_is_not_sent_after_its_class_became_keyed(
-    tmp_path: Path, tried: bool, outcome: str
+    tmp_path: Path, attempted: bool, outcome: str
 ) -> None:
     """Its class was repeatable at first and keyed later, and the repeat went out without a key."""
     async with Rig(tmp_path, answers(None, Reply(200, {}))) as rig:
-        if tried:
+        if attempted:
             rig.servers[0].behave = silent
             await (await rig.client()).submit("m1")
             await rig.servers[0].asked(1)
@@ -96,7 +96,7 @@
             await submit_undeliverable(rig, "m1")
         await restart(rig, settings_with_changed_class(effect="dedup", key_ttl_us=4_000_000))
         assert (await rig.platform.notice("m1"))["outcome"] == outcome
-        assert len(rig.servers[0].requests) == tried
+        assert len(rig.servers[0].requests) == attempted
 
 
 @pytest.mark.parametrize("failing", [1, 2, 3])
@@ -106,14 +106,14 @@
 ) -> None:
     accept = Forwarder.accept
 
-    def picky(forwarder: Forwarder, event: Accept) -> None:
+    def failing_accept(forwarder: Forwarder, event: Accept) -> None:
         if event.ref == failing:
             raise ZeroDivisionError
         accept(forwarder, event)
 
     async with Rig(tmp_path, OK) as rig:
         await submit_undeliverable(rig, "m1", "m2", "m3")
-        monkeypatch.setattr(Forwarder, "accept", picky)
+        monkeypatch.setattr(Forwarder, "accept", failing_accept)
         await restart(rig, SETTINGS)
         await rig.platform.notice(f"m{failing}")
         counts = rig.sender.exchange.counts
@@ -127,12 +127,13 @@
 ) -> None:
     """The send was lost, and the module believed its slot to be in use for ever."""
 
-    def broken(_forwarder: Forwarder) -> None:
+    def failing_close_idle(_forwarder: Forwarder) -> None:
         monkeypatch.undo()
         raise ZeroDivisionError
 
     async with Rig(tmp_path, OK) as rig:
-        monkeypatch.setattr(Forwarder, "close_idle", broken)  # runs after the sends have been decided
+        # It runs after the sends have been decided.
+        monkeypatch.setattr(Forwarder, "close_idle", failing_close_idle)
         await (await rig.client()).submit("m1", d=1500)
         assert (await rig.ended("m1")).ending is Ending.DELIVERED
         await (await rig.client()).submit("m2")
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -82,18 +82,18 @@
         self.rng, self.now = rng, 1000 * SECOND_US
         self.settings: Settings = parse_settings(json.dumps(generate_settings(rng)))
         self.folder = folder
-        # when the connection for a batch opens, or its answer arrives
-        self.due: list[tuple[int, int, Batch]] = []
-        self.out: dict[Batch, list[Attempt]] = {}
-        self.open: set[Batch] = set()
+        # When the connection for a batch opens, or its answer arrives.
+        self.scheduled: list[tuple[int, int, Batch]] = []
+        self.open_calls: dict[Batch, list[Attempt]] = {}
+        self.open_batches: set[Batch] = set()
         self.ends: dict[str, tuple[int, End]] = {}
-        self.taken: dict[str, Message] = {}
-        self.begun: dict[str, list[tuple[int, Attempt]]] = {}
+        self.accepted: dict[str, Message] = {}
+        self.begun_attempts: dict[str, list[tuple[int, Attempt]]] = {}
         self.results: dict[Attempt, Result] = {}
-        self.waits: dict[str | int, int] = {}
-        self.closed: set[str] = set()
+        self.retry_after_waits: dict[str | int, int] = {}
+        self.draining_names: set[str] = set()
         kinds = list(self.settings.kinds)
-        self.instances = [
+        self.endpoints = [
             Endpoint(f"i{d}{n}", "h", 1, "xyz"[n % 3], kinds[d % len(kinds)], d, EndpointStatus.LISTED, 20.0)
             for d in range(3)
             for n in range(2)
@@ -102,33 +102,33 @@
 
     def start_process(self) -> None:
         """Start the next process on the folder, after a kill or beside one that exits as at a hot restart."""
-        before, self.started = getattr(self, "journal", None), self.now
+        previous, self.started = getattr(self, "journal", None), self.now
         self.journal = Journal(self.folder, 3_000_000, self.unix_us, attempts=self.settings.try_limit)
-        if before is not None and self.rng.random() < 0.5:
-            kill(before)
-            before = None
+        if previous is not None and self.rng.random() < 0.5:
+            kill(previous)
+            previous = None
         self.journal.open()
         self.exchange = Exchange(self.settings, self.rng.randint(1, 1 << 30), self, self.journal, TICK_US)
         self.exchange.endpoint_calls = self
         self.exchange.listeners["platform"] = self.ended
         self.exchange.list_instances(
-            UpdateScope.FULL, [i for i in self.instances if i.name not in self.closed]
+            UpdateScope.FULL, [i for i in self.endpoints if i.name not in self.draining_names]
         )
         owed = list(self.journal.owed.values())
-        if before is not None:
+        if previous is not None:
             self.exchange.pump()
-            before.close()
+            previous.close()
         owed += self.journal.absorb() or []
-        assert {m.id for m in owed} == self.journal.owed.keys() == self.taken.keys() - self.ends.keys()
+        assert {m.id for m in owed} == self.journal.owed.keys() == self.accepted.keys() - self.ends.keys()
         for message in owed:
-            assert message.attempts_made >= len(self.begun.get(message.id, ()))
+            assert message.attempts_made >= len(self.begun_attempts.get(message.id, ()))
             self.exchange.adopt(message)
 
     def restart(self) -> None:
         """Restart: open calls end and may have run, waits are forgotten, and the settings may change."""
-        for part in self.out.values():
+        for part in self.open_calls.values():
             self.results.update((e, Result.RESET) for e in part)
-        self.open, self.out, self.due, self.waits = set(), {}, [], {}
+        self.open_batches, self.open_calls, self.scheduled, self.retry_after_waits = set(), {}, [], {}
         self.now += self.rng.choice([0, 100_000, 600_000, 5 * SECOND_US])
         if self.rng.random() < 0.5:
             self.settings = parse_settings(json.dumps(generate_settings(self.rng)))
@@ -152,23 +152,23 @@
         assert 1 <= len(batch.attempts) <= most
         ids = [e.message.id for e in batch.attempts]
         assert len(set(ids)) == len(ids)
-        self.open.add(batch)
-        assert len(self.open) <= self.settings.slots
-        self.due.append((self.now + self.rng.choice([0, 5, 300, 900]) * 1000, id(batch), batch))
+        self.open_batches.add(batch)
+        assert len(self.open_batches) <= self.settings.slots
+        self.scheduled.append((self.now + self.rng.choice([0, 5, 300, 900]) * 1000, id(batch), batch))
 
     def abandon(self, batch: Batch) -> None:
-        self.over(batch)
+        self.close_batch(batch)
 
     def progress(self, batch: Batch) -> Progress:
-        assert batch in self.open
+        assert batch in self.open_batches
         return Progress.SENT
 
-    def over(self, batch: Batch) -> None:
-        self.open.discard(batch)
-        self.out.pop(batch, None)
-        self.due = [d for d in self.due if d[2] is not batch]
+    def close_batch(self, batch: Batch) -> None:
+        self.open_batches.discard(batch)
+        self.open_calls.pop(batch, None)
+        self.scheduled = [d for d in self.scheduled if d[2] is not batch]
 
-    def limit(self, instance: Endpoint) -> str | int:
+    def wait_scope(self, instance: Endpoint) -> str | int:
         return (
             instance.name
             if self.settings.kinds.get(instance.kind, DestinationKind()).apart
@@ -176,20 +176,20 @@
         )
 
     def may_have_run(self, attempt: Attempt) -> bool:
-        out = any(attempt in part for part in self.out.values())
+        out = any(attempt in part for part in self.open_calls.values())
         never = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
         return out or self.results.get(attempt, Result.CANCELLED) not in never
 
-    def begin(self, attempt: Attempt) -> None:
+    def check_begin(self, attempt: Attempt) -> None:
         """Check that the first byte of a call may be sent."""
         message, cls = attempt.message, self.settings.classes[attempt.message.cls]
         assert attempt.endpoint.dest == message.dest
-        assert attempt.endpoint.name not in self.closed
-        assert self.waits.get(self.limit(attempt.endpoint), 0) <= self.now
+        assert attempt.endpoint.name not in self.draining_names
+        assert self.retry_after_waits.get(self.wait_scope(attempt.endpoint), 0) <= self.now
         assert message.id not in self.ends
-        before = self.begun.setdefault(message.id, [])
+        before = self.begun_attempts.setdefault(message.id, [])
         assert len(before) < self.settings.try_limit
-        out = [e for part in self.out.values() for e in part if e.message is message]
+        out = [e for part in self.open_calls.values() for e in part if e.message is message]
         assert not out or (self.settings.second_copies and len(out) == 1)
         ran = [at for at, e in before if self.may_have_run(e)]
         assert not ran or cls.effect is not Effect.UNSAFE
@@ -197,42 +197,42 @@
         assert not ran or cls.effect is not Effect.KEYED or message.key
         before.append((self.now, attempt))
 
-    def serve(self) -> None:
-        for at, _, batch in sorted(self.due, key=lambda d: d[:2]):
-            if at > self.now or batch not in self.open:
+    def run_endpoints(self) -> None:
+        for at, _, batch in sorted(self.scheduled, key=lambda d: d[:2]):
+            if at > self.now or batch not in self.open_batches:
                 continue
-            self.due = [d for d in self.due if d[2] is not batch]
-            if batch in self.out:
+            self.scheduled = [d for d in self.scheduled if d[2] is not batch]
+            if batch in self.open_calls:
                 self.answer(batch)
             elif self.rng.random() < 0.1:
-                self.over(batch)
+                self.close_batch(batch)
                 for e in batch.waiting():
                     self.settle(e, CallVerdict(Result.CONNECT_FAILED))
             else:
                 part = [e for e in batch.waiting() if self.exchange.begin(e)]
                 for e in part:
-                    self.begin(e)
+                    self.check_begin(e)
                 if not part:
-                    self.over(batch)
+                    self.close_batch(batch)
                     continue
-                self.out[batch] = part
+                self.open_calls[batch] = part
                 if self.rng.random() < 0.9:  # otherwise there is no answer
-                    later = self.now + int(self.rng.expovariate(1 / 400_000))
-                    self.due.append((later, id(batch), batch))
+                    answer_at = self.now + int(self.rng.expovariate(1 / 400_000))
+                    self.scheduled.append((answer_at, id(batch), batch))
 
     def answer(self, batch: Batch) -> None:
-        one = [Result.OK] * 6 + [Result.ERROR, Result.RESET, Result.FULL]
-        same, each = self.rng.choice(one), self.rng.random() < 0.3
-        wait = self.rng.choice([0, 0, 300, 2000]) * 1000 if same is Result.FULL else 0
+        possible_results = [Result.OK] * 6 + [Result.ERROR, Result.RESET, Result.FULL]
+        common_result, results_differ = self.rng.choice(possible_results), self.rng.random() < 0.3
+        wait = self.rng.choice([0, 0, 300, 2000]) * 1000 if common_result is Result.FULL else 0
         limit = self.rng.choice([None, 0.0, 3.0, 30.0])
-        part = self.out[batch]
-        self.over(batch)
+        part = self.open_calls[batch]
+        self.close_batch(batch)
         for e in part:
-            found = self.rng.choice(one) if each and len(part) > 1 else same
-            self.settle(e, CallVerdict(found, wait, None, 0.5, limit))
+            result = self.rng.choice(possible_results) if results_differ and len(part) > 1 else common_result
+            self.settle(e, CallVerdict(result, wait, None, 0.5, limit))
         if wait:
-            key = self.limit(batch.endpoint)
-            self.waits[key] = max(self.waits.get(key, 0), self.now + wait)
+            key = self.wait_scope(batch.endpoint)
+            self.retry_after_waits[key] = max(self.retry_after_waits.get(key, 0), self.now + wait)
 
     def settle(self, attempt: Attempt, verdict: CallVerdict) -> None:
         self.results.setdefault(attempt, verdict.result)
@@ -241,10 +241,10 @@
     # The clients' side, with its checks.
 
     def ended(self, message: Message, end: End) -> None:
-        assert message.id not in self.ends, "two ends"
+        assert message.id not in self.ends, "two final answers"
         assert self.now <= max(message.deadline_us, self.started) + MAX_ANSWER_DELAY_US
         if end.ending is Ending.REFUSED:
-            cls, ran = self.settings.classes.get(message.cls), self.begun.get(message.id, [])
+            cls, ran = self.settings.classes.get(message.cls), self.begun_attempts.get(message.id, [])
             repeatable = cls is not None and (
                 cls.effect is Effect.SAFE
                 or (cls.effect is Effect.KEYED and not cls.same_zone and bool(message.key))
@@ -255,19 +255,21 @@
     def submit_message(self, number: int) -> None:
         cls = self.rng.choice(list(self.settings.classes.values()))
         tenant = self.rng.choice([*self.settings.tenants, ""])
-        left = self.rng.choice([cls.deadline_us, cls.deadline_us // 3])
+        remaining_us = self.rng.choice([cls.deadline_us, cls.deadline_us // 3])
         key = f"k{number // 2 if self.rng.random() < 0.2 else number}"
         keyed = key if cls.effect is Effect.KEYED else ""
         dest = self.rng.choice([0, 0, 1, 2])
-        message = Message(f"m{number}", cls.name, tenant, dest, self.now + left, b"x", "platform", key=keyed)
+        message = Message(
+            f"m{number}", cls.name, tenant, dest, self.now + remaining_us, b"x", "platform", key=keyed
+        )
         if self.exchange.submit(message) is None:
-            self.taken[message.id] = message
+            self.accepted[message.id] = message
 
-    def drain(self) -> None:
-        chosen = self.rng.choice(self.instances)
-        back = chosen.name in self.closed
+    def toggle_drain(self) -> None:
+        chosen = self.rng.choice(self.endpoints)
+        back = chosen.name in self.draining_names
         status = EndpointStatus.LISTED if back else EndpointStatus.DRAINING
-        (self.closed.discard if back else self.closed.add)(chosen.name)
+        (self.draining_names.discard if back else self.draining_names.add)(chosen.name)
         news = Endpoint(chosen.name, "h", 1, chosen.zone, chosen.kind, chosen.dest, status, 20.0)
         self.exchange.list_instances(UpdateScope.DELTA, [news])
 
@@ -295,20 +297,20 @@
     """Submit messages and restart with this probability per tick; each gets one final answer in time."""
     with TemporaryDirectory() as folder:
         environment, rng, number = CheckedEnvironment(Path(folder), Random(seed)), Random(seed + 1), 0
-        while environment.taken.keys() - environment.ends.keys() or number < 120:
+        while environment.accepted.keys() - environment.ends.keys() or number < 120:
             environment.now += TICK_US
-            assert environment.now < 1400 * SECOND_US, "some have no end"
+            assert environment.now < 1400 * SECOND_US, "messages without a final answer"
             if number < 120 and rng.random() < 0.15:
                 for _ in range(rng.choice([1, 1, 1, 12])):
                     number += 1
                     environment.submit_message(number)
             if rng.random() < 0.002:
-                environment.drain()
+                environment.toggle_drain()
             if restarts and rng.random() < restarts:
                 environment.restart()
-            environment.serve()
+            environment.run_endpoints()
             environment.exchange.pump()
-        assert set(environment.ends) == set(environment.taken)
+        assert set(environment.ends) == set(environment.accepted)
         environment.journal.close()
 
 
@@ -320,28 +322,28 @@
 MANY_CLASSES = [SETTINGS["grades"][0] | {"name": f"c{n}", "effect": EFFECTS[n % 3]} for n in range(60)]
 MANY_TENANTS = [{"name": "a", "quota_per_s": 0.01}, *({"name": f"t{n}", "quota_per_s": 1} for n in range(50))]
 EXTREMES: dict[str, tuple[dict[str, Any], dict[str, Any]]] = {
-    "one slot, one held, one try": ({"extra": {"slots": 1}}, {"most_held": 1, "try_limit": 1}),
+    "one slot, one message held, one attempt": ({"extra": {"slots": 1}}, {"most_held": 1, "try_limit": 1}),
     "500 senders, weights silent": ({"replicas_of_me": 500, "weight_kind": "silent"}, {}),
     "100000 senders, weights nominal": ({"replicas_of_me": 100_000}, {}),
-    "deadline near, aim the same": (with_class_changes(slo_us=300_000, deadline_us=300_000), {}),
+    "short deadline equal to the target": (with_class_changes(slo_us=300_000, deadline_us=300_000), {}),
     "deadline an hour, no late worth": (with_class_changes(deadline_us=3_600_000_000, late_worth=0), {}),
-    "late is as good, worth tiny": (with_class_changes(late_worth=1, worth=0.001), {}),
-    "halves of nothing, worth huge": (
+    "late answers worth as much, tiny worth": (with_class_changes(late_worth=1, worth=0.001), {}),
+    "halving from zero, huge worth": (
         with_class_changes(late_worth=0, worth=1000) | {"extra": {"fades": "halves"}},
         {},
     ),
-    "connections that hardly last": ({}, {"keepalive_us": 100_000, "streams_per_conn": 100}),
-    "connections beyond any deadline": ({}, {"connect_timeout_us": 3_600_000_000}),
+    "very short keep-alive": ({}, {"keepalive_us": 100_000, "streams_per_conn": 100}),
+    "connect time-out beyond any deadline": ({}, {"connect_timeout_us": 3_600_000_000}),
     "no tenants, no kinds": ({"tenants": [], "kinds": []}, {}),
     "51 tenants": ({"tenants": MANY_TENANTS, "over_share_worth": 0}, {}),
     "60 classes": ({"grades": [*SETTINGS["grades"], *MANY_CLASSES]}, {}),
-    "keys of a second": (with_class_changes(key_ttl_us=1_000_000), {}),
-    "ramp of a millisecond": ({"rules": {"cold_share": 1, "ramp_time_us": 1000}}, {}),
-    "asked each 100 ms": ({"rules": {"ask_within_us": 100_000, "answer_slack_us": 0}}, {}),
-    "asked each ten minutes": ({"rules": {"ask_within_us": 600_000_000}}, {}),
-    "nothing but what is needed": ({k: None for k in SETTINGS if k not in ("grades", "limits")}, {}),
+    "keys valid for one second": (with_class_changes(key_ttl_us=1_000_000), {}),
+    "slow start of one millisecond": ({"rules": {"cold_share": 1, "ramp_time_us": 1000}}, {}),
+    "list requested every 100 ms": ({"rules": {"ask_within_us": 100_000, "answer_slack_us": 0}}, {}),
+    "list requested every ten minutes": ({"rules": {"ask_within_us": 600_000_000}}, {}),
+    "only required settings": ({k: None for k in SETTINGS if k not in ("grades", "limits")}, {}),
     "unknown keys": (with_class_changes(new={"x": [1]}) | {"new": 1, "extra": {"new": None}}, {"new": None}),
-    "whole numbers with a point": (
+    "integers written as floats": (
         with_class_changes(slo_us=5e5, deadline_us=2e7),
         {"max_retry_after_us": 5e5},
     ),
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -227,19 +227,19 @@
 ) -> None:
     async with Rig(tmp_path, answers(Reply(200, {}))) as rig:
         rig.sender.close()
-        loop, told = asyncio.get_running_loop(), list[float]()
-        plain = loop.getaddrinfo
+        loop, signalled_at = asyncio.get_running_loop(), list[float]()
+        real_getaddrinfo = loop.getaddrinfo
 
-        async def tell_while_opening(*args: object, **kwargs: object) -> object:
-            if not told:
+        async def signal_while_opening(*args: object, **kwargs: object) -> object:
+            if not signalled_at:
                 os.kill(os.getpid(), signal.SIGTERM)
-                told.append(loop.time())
+                signalled_at.append(loop.time())
                 await asyncio.sleep(LIMITS.accept_until_us / 1e6)
-            return await plain(*args, **kwargs)  # type: ignore[arg-type]
+            return await real_getaddrinfo(*args, **kwargs)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(loop, "getaddrinfo", tell_while_opening)
+        monkeypatch.setattr(loop, "getaddrinfo", signal_while_opening)
         await serve(rig.config)
-        assert loop.time() - told[0] < 2 * LIMITS.accept_until_us / 1e6
+        assert loop.time() - signalled_at[0] < 2 * LIMITS.accept_until_us / 1e6
 
 
 @on_loop
