--- a/rowanrack/app.py
+++ b/rowanrack/app.py
@@ -409,7 +409,7 @@
         try:
             await asyncio.wait({starting, stopping}, return_when=asyncio.FIRST_COMPLETED)
             if self.shutdown.phase is Phase.EXITED:
-                log.info("stopped: told to stop before any message was owned")
+                log.info("stopped: SIGTERM or SIGINT came before any message was owned")
                 return
             await starting
             self._started = True
--- a/rowanrack/core/exchange.py
+++ b/rowanrack/core/exchange.py
@@ -72,7 +72,7 @@
 # Verdict for an attempt that the store could not record. The wait protects the message's limited number of
 # attempts: without it, each round would send the message and stop it again.
 NOT_RECORDED_VERDICT = CallVerdict(Result.MOOT, wait_us=500_000)
-# A call that timed out while its answer was arriving is checked again at this interval, so many times.
+# How often, and how many times, a call that timed out while its answer was arriving is checked again.
 ANSWER_CHECK_INTERVAL_US = 50_000
 MAX_ANSWER_CHECK_COUNT = 4
 # Delay before a round is tried again in which the decision module failed without reading an event.
