--- a/rowanrack/config.py
+++ b/rowanrack/config.py
@@ -1,4 +1,4 @@
-"""What a sender is told, checked before it starts: the platform's environment, or an operator's file."""
+"""The configuration of a sender, checked at the start: the platform's environment, or a site file."""
 
 from __future__ import annotations
 
@@ -21,23 +21,24 @@
     from rowanrack.site_file import InstanceTable, SiteFile
 
 
-# Where lists are pushed, what the agent gets when discovery returns counts as told at once. A failed watch is
-# asked for after a quarter of the time for asking, spread by a quarter: so within half of the drain grace.
-PUSHED_WITHIN_GRACES = 1.6
-DRAIN_GRACE_US = 250_000  # where the settings name none
+# Where lists are pushed, whatever discovery's agent receives counts as known at once. A failed watch is
+# repeated after a quarter of the polling time, with a jitter of a quarter; with this factor the repeat comes
+# within half of the drain grace.
+PUSHED_POLL_FACTOR = 1.6
+DEFAULT_DRAIN_GRACE_US = 250_000  # used if the settings contain none
 
-TICK_US = 5_000  # resolution of timers where none is given,
-DISK_MB = 3.0  # and the room for the journal,
-SOCKETS = 1024  # and the descriptors
+DEFAULT_TICK_US = 5_000  # timer resolution
+DEFAULT_DISK_MB = 3.0  # space for the journal
+DEFAULT_SOCKET_COUNT = 1024  # limit on descriptors
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text is one clear line."""
+    """The configuration is invalid; the text is a single line that says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeersConfig:
-    """Where notes from other senders arrive, the addresses that they come from, and that of all of them."""
+    """The address on which gossip notes arrive, the other senders' addresses, and the broadcast address."""
 
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]
@@ -46,19 +47,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """Where the platform's front meets clients and discovery, and this sender the others."""
+    """The addresses of the platform's front end, of discovery and of the other senders."""
 
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seq: int
     known: tuple[Endpoint, ...]
     peers: PeersConfig | None = None
-    pushed: bool = False  # whether what discovery has counts as told from the start, asked for or not
+    # Whether discovery's lists count as known from the start, even if they were not requested.
+    pushed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class OtlpConfig:
-    """Where the OTLP front listens, and how it reads requests."""
+    """The OTLP front end's address, and how it reads requests."""
 
     listen: tuple[str, int]
     body_limit: int
@@ -67,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsulConfig:
-    """Consul's agent, and the services whose instances are listed: those named, or those with the tag."""
+    """The Consul agent, and the services to list: the named ones, or all with the tag."""
 
     address: tuple[str, int]
     services: tuple[str, ...]
@@ -76,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordConfig:
-    """Where a recording goes, and the room on disk that it may take."""
+    """The folder of a recording, and the disk space that it may use."""
 
     folder: Path
     most_bytes: int
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelsConfig:
-    """Where other sites reach this sender's log, the sites, and how much is kept for how long."""
+    """The channel log: its address, the other sites, and how much is kept for how long."""
 
     listen: tuple[str, int]
     sites: Mapping[str, tuple[str, int]]
@@ -95,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a sender needs to know at its start."""
+    """The complete configuration of a sender."""
 
     name: str
     settings: Settings
@@ -110,7 +112,7 @@
     console: Path | None = None
     record: RecordConfig | None = None
     instances: tuple[Endpoint, ...] = ()
-    mgmt: tuple[str, int] | None = None  # the operators' address
+    mgmt: tuple[str, int] | None = None  # address of the management server
     channels: ChannelsConfig | None = None
 
     def __post_init__(self) -> None:
@@ -124,11 +126,11 @@
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """The keys in which a configuration differs from the one in use, but for those that a reload takes over.
+    """Return the changed keys that a reload cannot apply.
 
-    A reload takes over: the platform's `discovery`, the file's instances, and OTLP's map and destinations.
+    A reload applies the platform's `discovery`, the endpoints in the file, and OTLP's map and destinations.
     """
-    fixed = (
+    restart_keys = (
         "name",
         "settings",
         "tick_us",
@@ -141,64 +143,66 @@
         "mgmt",
         "channels",
     )
-    changed = [key for key in fixed if getattr(old, key) != getattr(new, key)]
+    changed = [key for key in restart_keys if getattr(old, key) != getattr(new, key)]
     for front in ("platform", "otlp"):
-        was, wanted = getattr(old, front), getattr(new, front)
-        if (was and was.listen) != (wanted and wanted.listen):
+        old_front, new_front = getattr(old, front), getattr(new, front)
+        if (old_front and old_front.listen) != (new_front and new_front.listen):
             changed.append(f"{front}.listen")
     if old.otlp is not None and new.otlp is not None and old.otlp.body_limit != new.otlp.body_limit:
         changed.append("otlp.body_limit")
     return changed
 
 
-def load(path: Path, parse: Callable[[str], Any], form: str) -> dict[str, Any]:
-    """The object in a file of that form."""
+def load_document(path: Path, parse: Callable[[str], Any], format_name: str) -> dict[str, Any]:
+    """Parse a file, and return its top-level object."""
     try:
         doc = parse(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: no {form}: {error}") from None
+        raise ConfigError(f"{path}: invalid {format_name}: {error}") from None
     if not isinstance(doc, dict):
-        raise ConfigError(f"{path}: not a {form} object")
+        raise ConfigError(f"{path}: not a {format_name} object")
     return doc
 
 
-def given(doc: Mapping[str, Any], key: str, default: Any) -> Any:
-    """What a document says under a key that may be absent or null."""
+def value_or_default(doc: Mapping[str, Any], key: str, default: Any) -> Any:
+    """Return a key's value, or the default if the key is absent or null."""
     value = doc.get(key)
     return default if value is None else value
 
 
 def platform_config(env: Mapping[str, str]) -> Config:
-    """The configuration of a sender on the platform, from its environment."""
+    """Read the configuration of a sender on the platform from its environment."""
     if not env.get("ROUTER_CONFIG"):
         raise ConfigError("ROUTER_CONFIG is not set")
-    doc = load(Path(env["ROUTER_CONFIG"]), json.loads, "JSON")
+    doc = load_document(Path(env["ROUTER_CONFIG"]), json.loads, "JSON")
     state = env.get("ROUTER_STATE")
     if not state or not Path(state).is_dir():
         raise ConfigError("ROUTER_STATE is not a folder")
     try:
-        raw = doc["settings"]
-        settings = parse_settings(json.dumps(raw))
-        # Where lists are pushed, they come on a watch here too; only the clock is another.
+        raw_settings = doc["settings"]
+        settings = parse_settings(json.dumps(raw_settings))
+        # Such a sender also reads the lists through a watch; only the required polling time differs.
         if pushed := not settings.on_request:
-            grace_us = given(given(raw, "rules", {}), "drain_grace_us", DRAIN_GRACE_US)
-            within_us = min(settings.ask_within_us, max(1, int(PUSHED_WITHIN_GRACES * grace_us)))
-            settings = replace(settings, on_request=True, ask_within_us=within_us)
+            grace_us = value_or_default(
+                value_or_default(raw_settings, "rules", {}), "drain_grace_us", DEFAULT_DRAIN_GRACE_US
+            )
+            poll_within_us = min(settings.ask_within_us, max(1, int(PUSHED_POLL_FACTOR * grace_us)))
+            settings = replace(settings, on_request=True, ask_within_us=poll_within_us)
         seq, _, known = parse_list(doc["known"])
-        limits = given(doc, "limits", {})
+        limits = value_or_default(doc, "limits", {})
         return Config(
             name=str(env.get("ROUTER_NAME") or doc["name"]),
             settings=settings,
-            tick_us=int(given(raw, "resolution_us", TICK_US)),
-            seed=int(str(given(doc, "seed", "0")), 16),
+            tick_us=int(value_or_default(raw_settings, "resolution_us", DEFAULT_TICK_US)),
+            seed=int(str(value_or_default(doc, "seed", "0")), 16),
             state=Path(state),
-            disk_bytes=int(float(given(limits, "disk_mb", DISK_MB)) * 1_000_000),
-            sockets=int(given(limits, "sockets", SOCKETS)),
+            disk_bytes=int(float(value_or_default(limits, "disk_mb", DEFAULT_DISK_MB)) * 1_000_000),
+            sockets=int(value_or_default(limits, "sockets", DEFAULT_SOCKET_COUNT)),
             platform=PlatformConfig(
                 parse_address(env.get("ROUTER_LISTEN") or doc["listen"]),
-                # The file first: it may have been replaced since the environment was set.
+                # The file takes precedence: it may have been replaced after the environment was set.
                 parse_address(doc.get("discovery") or env["ROUTER_DISCOVERY"]),
                 seq,
                 tuple(known),
@@ -210,22 +214,22 @@
     except (WireError, ListError) as error:
         raise ConfigError(f"{env['ROUTER_CONFIG']}: {error}") from None
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise ConfigError(f"{env['ROUTER_CONFIG']}: bad or missing {error}") from None
+        raise ConfigError(f"{env['ROUTER_CONFIG']}: invalid or missing value: {error}") from None
 
 
 def operator_config(path: Path) -> Config:
-    """The configuration of a sender at a small site, from its operator's TOML file."""
-    from rowanrack.site_file import SiteFileError, read  # msgspec: only where it is used
+    """Read the configuration of a sender at a small site from the operator's TOML file."""
+    from rowanrack.site_file import SiteFileError, read_site_file  # loads msgspec only if used
 
     try:
-        site: SiteFile = read(path)
+        site: SiteFile = read_site_file(path)
         state = Path(site.state)
         if not state.is_dir():
             raise ValueError(f"state: {state} is not a folder")
-        # The records have been checked; the settings are read by the one reader that the platform's have too.
+        # The records have been validated; the settings are parsed by the same code as the platform's.
         settings = parse_settings(json.dumps(tomllib.loads(path.read_text(encoding="utf-8"))["settings"]))
         if site.platform is not None:
-            settings = replace(settings, on_request=True)  # its discovery tells only those who ask
+            settings = replace(settings, on_request=True)  # its discovery answers only requests
         return Config(
             name=site.name,
             settings=settings,
@@ -240,7 +244,7 @@
             console=Path(site.console.socket) if site.console is not None else None,
             record=_record(site),
             channels=_channels(site),
-            instances=tuple(map(_instance, site.instance)),
+            instances=tuple(map(_to_endpoint, site.instance)),
             mgmt=parse_address(site.mgmt) if site.mgmt else None,
         )
     except OSError as error:
@@ -252,7 +256,7 @@
 
 
 def _peers(doc: Mapping[str, Any], settings: Settings) -> PeersConfig | None:
-    """Where senders tell each other something; None where they may not, or no address is given."""
+    """Return the gossip addresses, or None if the settings disable gossip or an address is missing."""
     listen, peers, all_at = (doc.get(key) for key in ("peer_listen", "peers", "peers_all"))
     if not notes_enabled(settings) or not (listen and peers and all_at):
         return None
@@ -262,19 +266,23 @@
 def _platform(site: SiteFile, settings: Settings) -> PlatformConfig | None:
     if site.platform is None:
         if site.peers is not None:
-            raise ValueError("peers: senders tell each other something only where there is a [platform]")
+            raise ValueError("peers: gossip between senders requires a [platform] table")
         return None
     listen, discovery = site.platform.listen, site.platform.discovery
-    told = site.peers
-    doc = {} if told is None else {"peer_listen": told.listen, "peers": told.peers, "peers_all": told.all_at}
+    peers_table = site.peers
+    doc = (
+        {}
+        if peers_table is None
+        else {"peer_listen": peers_table.listen, "peers": peers_table.peers, "peers_all": peers_table.all_at}
+    )
     return PlatformConfig(parse_address(listen), parse_address(discovery), 0, (), _peers(doc, settings))
 
 
 def _otlp(site: SiteFile) -> OtlpConfig | None:
     if (otlp := site.otlp) is None:
         return None
-    given = otlp.map
-    sources = (given.cls, given.tenant, given.destination, given.id, given.left_ms, given.key)
+    mapped = otlp.map
+    sources = (mapped.cls, mapped.tenant, mapped.destination, mapped.id, mapped.left_ms, mapped.key)
     cls, tenant, dest, message_id, left_ms, key = (Source(s.header, s.attribute, s.default) for s in sources)
     mapping = RequestMap(cls, tenant, dest, message_id, left_ms, key, otlp.destinations)
     return OtlpConfig(parse_address(otlp.listen), otlp.body_limit, mapping)
@@ -295,18 +303,24 @@
 
 
 def _channels(site: SiteFile) -> ChannelsConfig | None:
-    if (given := site.channels) is None:
+    if (channels := site.channels) is None:
         return None
-    if site.name in given.sites:
+    if site.name in channels.sites:
         raise ValueError(f"channels.sites: {site.name} is this sender itself")
     sites: dict[str, tuple[str, int]] = {}
-    for name, address in given.sites.items():
+    for name, address in channels.sites.items():
         if not HEADER_SAFE.fullmatch(name) or "/" in name:
-            raise ValueError(f"channels.sites: {name!r} is no name: printable, without blanks and slashes")
+            raise ValueError(
+                f"channels.sites: {name!r} is not a valid name: no spaces, slashes or control characters"
+            )
         sites[name] = _address(f"channels.sites.{name}", address)
-    listen = _address("channels.listen", given.listen)
+    listen = _address("channels.listen", channels.listen)
     return ChannelsConfig(
-        listen, sites, int(given.disk_mb * 1_000_000), int(given.keep_days * 86_400_000_000), given.ids
+        listen,
+        sites,
+        int(channels.disk_mb * 1_000_000),
+        int(channels.keep_days * 86_400_000_000),
+        channels.ids,
     )
 
 
@@ -317,8 +331,8 @@
         raise ValueError(f"{key}: {error}") from None
 
 
-def _instance(given: InstanceTable) -> Endpoint:
-    host, port = parse_address(given.address)
+def _to_endpoint(table: InstanceTable) -> Endpoint:
+    host, port = parse_address(table.address)
     return Endpoint(
-        given.name, host, port, given.zone, given.kind, given.dest, EndpointStatus.LISTED, given.rate
+        table.name, host, port, table.zone, table.kind, table.dest, EndpointStatus.LISTED, table.rate
     )
--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -23,7 +23,7 @@
 from rowanrack.net.stream import Stream
 from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import make_endpoint
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 from tests.test_list_clock import FakeStream, advance_time, http_response
 
 
@@ -37,7 +37,7 @@
     drains: bool = False
 
 
-class RecordingDesk(Desk):
+class RecordingDesk(ExchangeHarness):
     """A desk that records the endpoints whose idle connections it was told to close."""
 
     def __init__(self, folder: Path) -> None:
@@ -288,7 +288,7 @@
 default = "7"
 """
 
-    load_again, reload = Sender.load_again, Sender.reload
+    reload_from, reload = Sender.reload_from, Sender.reload
     watch = notices = otlp = None
 
     def start(self) -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -172,7 +172,7 @@
     """Time out the only attempt in progress."""
     exchange = rig.sender.exchange
     (attempt,) = [a for message in exchange.messages.values() for a in message.out.values()]
-    exchange._drop(attempt, Result.TIMEOUT)
+    exchange._stop_waiting(attempt, Result.TIMEOUT)
 
 
 @pytest.mark.parametrize("is_read_by_stream", [False, True])
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -273,12 +273,12 @@
 @on_loop
 async def test_the_answer_to_bad_input_is_delayed_up_to_a_number_of_penalties(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
-        rig.sender.fronts[0][0]._active_penalties = load_shedder.PENALTIES
+        rig.sender.fronts[0][0]._active_penalties = load_shedder.MIN_PENALTY_COUNT
         loop = asyncio.get_running_loop()
         for is_delayed in (False, True):
             began = loop.time()
             assert (await (await rig.client()).command("NO")).startswith(b"-ERR unknown command")
-            assert (loop.time() - began >= load_shedder.PENALTY_US / 1e6) is is_delayed
+            assert (loop.time() - began >= load_shedder.MIN_PENALTY_US / 1e6) is is_delayed
             rig.sender.fronts[0][0]._active_penalties = 0
 
 
@@ -296,8 +296,8 @@
         assert not rig.sender.exchange.messages
         rig.add_removed_destinations(99)
         assert await client.submit("m2", dest=99) == b"+OK\r\n"
-        assert rig.sender.exchange.table.knows(99, 0)
-        assert not rig.sender.exchange.table.knows(99, 1 << 60)
+        assert rig.sender.exchange.table.knows_destination(99, 0)
+        assert not rig.sender.exchange.table.knows_destination(99, 1 << 60)
 
 
 def test_warnings_that_outsiders_cause_are_rate_limited(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -18,7 +18,7 @@
 from rowanrack.net.http import Reply, Request
 from rowanspindle import Result, UpdateScope
 from tests.rig import Rig, answers, make_endpoint, on_loop
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 
 ENDPOINT = make_endpoint("i0", 1)
 
@@ -317,8 +317,8 @@
 # Attempts that share a call.
 
 
-def desk_with_bulk_calls(folder: Path) -> Desk:
-    return Desk(folder, BULK_SETTINGS)
+def desk_with_bulk_calls(folder: Path) -> ExchangeHarness:
+    return ExchangeHarness(folder, BULK_SETTINGS)
 
 
 def test_giving_up_one_message_keeps_the_call_open_for_the_others(tmp_path: Path) -> None:
@@ -348,9 +348,9 @@
     desk.run(10_000)
     pair = list(desk.calls)
     assert all(desk.exchange.begin(e) for e in pair)
-    desk.exchange._drop(pair[0], Result.TIMEOUT)
+    desk.exchange._stop_waiting(pair[0], Result.TIMEOUT)
     assert not desk.abandoned and not pair[0].settled
-    desk.exchange._drop(pair[1], Result.TIMEOUT)
+    desk.exchange._stop_waiting(pair[1], Result.TIMEOUT)
     assert desk.abandoned == pair and all(e.settled for e in pair)
 
 
@@ -362,6 +362,6 @@
         )
     desk.run(10_000)
     first, second = desk.calls
-    desk.exchange._drop(first, Result.TIMEOUT)
+    desk.exchange._stop_waiting(first, Result.TIMEOUT)
     assert first.settled and not desk.abandoned
     assert not desk.exchange.begin(first) and desk.exchange.begin(second)
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -15,7 +15,7 @@
 from rowanspindle import Result
 from tests.contracts.stores import FaultyDisk
 from tests.rig import SETTINGS, Process, Rig, answers, on_loop
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 from tests.test_parts import read_journal
 
 
@@ -72,7 +72,7 @@
 def test_owed_messages_are_completed_in_reserved_space(
     tmp_path: Path, disk: FaultyDisk, caplog: pytest.LogCaptureFixture, then_completes: bool
 ) -> None:
-    desk = Desk(tmp_path, {"limits": SETTINGS["limits"] | {"most_held": 500}})
+    desk = ExchangeHarness(tmp_path, {"limits": SETTINGS["limits"] | {"most_held": 500}})
     attempt = desk.submit("m1")
     assert desk.journal._compact()  # the new file reserves the same space
     disk.mode = "full"
@@ -94,7 +94,7 @@
 
 
 def test_idle_sender_checks_for_disk_space(tmp_path: Path, disk: FaultyDisk) -> None:
-    desk = Desk(tmp_path)
+    desk = ExchangeHarness(tmp_path)
     desk.run(SECOND_US)
     disk.mode = "refuses"
     assert desk.exchange.submit(make_message(desk, "m1")) is not None
@@ -103,7 +103,7 @@
 
 
 def test_unwritten_record_is_written_before_the_next_one(tmp_path: Path, disk: FaultyDisk) -> None:
-    desk = Desk(tmp_path)
+    desk = ExchangeHarness(tmp_path)
     messages = [make_message(desk, name) for name in ("a", "b")]
     assert all(desk.journal.take(m) for m in messages)
     disk.failing_write_number = disk.write_count + 1
@@ -125,13 +125,13 @@
     assert journal.slot == "messages" and journal.take(Message("m", "c", "t", 3, SECOND_US, b"", "platform"))
 
 
-def make_message(desk: Desk, name: str) -> Message:
+def make_message(desk: ExchangeHarness, name: str) -> Message:
     return Message(name, "print-order", "a", 7, desk.now + 3 * SECOND_US, b"x", "platform")
 
 
 def test_disk_error_consumes_no_attempts_and_causes_no_outage(tmp_path: Path, disk: FaultyDisk) -> None:
     """Guards against stopping each call before its first byte and repeating it until no attempt is left."""
-    desk = Desk(tmp_path)
+    desk = ExchangeHarness(tmp_path)
     first = desk.submit("m1")
     assert desk.exchange.begin(first) and desk.exchange.submit(make_message(desk, "m2")) is None
     disk.mode = "refuses"
@@ -148,7 +148,7 @@
 
 
 def test_ends_queued_during_a_full_disk_are_written_later(tmp_path: Path, disk: FaultyDisk) -> None:
-    desk = Desk(tmp_path)
+    desk = ExchangeHarness(tmp_path)
     first = desk.submit("m1")
     assert desk.exchange.begin(first) and desk.exchange.submit(make_message(desk, "m2")) is None
     disk.mode = "refuses"
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,4 +1,4 @@
-"""Instances that go and come under ever new names: what is kept by name ends with them."""
+"""Endpoints that are replaced under ever new names: all state kept by name is dropped with them."""
 
 from __future__ import annotations
 
@@ -19,30 +19,32 @@
 
 @pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
 @on_loop
-async def test_connections_end_with_their_instance(tmp_path: Path, status: EndpointStatus) -> None:
-    """They stayed open for seconds, and counted against what the address's next instance takes."""
+async def test_idle_connections_close_when_their_endpoint_drains_or_is_removed(
+    tmp_path: Path, status: EndpointStatus
+) -> None:
+    """Connections used to stay open for seconds, and counted against the next endpoint at that address."""
     async with Rig(tmp_path, answers(OK)) as rig:
         await (await rig.client()).submit("m1")
         await rig.wait_for_end("m1")
-        pool, (stand_in,) = rig.sender.pool, rig.servers
+        pool, (server,) = rig.sender.pool, rig.servers
         assert len(pool.idle["i0"]) == 1
-        (serving,) = stand_in.tasks
+        (serving,) = server.tasks
         rig.sender.exchange.list_instances(
             UpdateScope.DELTA, [replace(rig.known_endpoints[0], status=status)]
         )
-        await asyncio.wait({serving})  # it has seen the end of its connection
+        await asyncio.wait({serving})  # the endpoint has seen the end of its connection
         assert not pool.idle and not pool._idle_by_age
 
 
 @on_loop
-async def test_an_answer_of_one_that_has_gone_leaves_no_connection(tmp_path: Path) -> None:
+async def test_answer_of_a_removed_endpoint_leaves_no_idle_connection(tmp_path: Path) -> None:
     answer = asyncio.Event()
 
-    async def held_up(_request: object) -> Reply:
+    async def delayed_answer(_request: object) -> Reply:
         await answer.wait()
         return OK
 
-    async with Rig(tmp_path, held_up) as rig:
+    async with Rig(tmp_path, delayed_answer) as rig:
         await (await rig.client()).submit("m1")
         await rig.servers[0].wait_for_requests(1)
         (serving,) = rig.servers[0].tasks
@@ -54,25 +56,27 @@
 
 
 @on_loop
-async def test_what_a_hundred_names_leave_behind_is_nothing(tmp_path: Path) -> None:
-    """Each takes the address of the last, tells a wait where routes are apart, serves and goes."""
+async def test_no_state_is_left_after_a_hundred_endpoint_names(tmp_path: Path) -> None:
+    """Each endpoint takes over the address of the previous one, asks for a wait, and is removed."""
     async with Rig(tmp_path, answers(OK)) as rig:
         client, exchange = await rig.client(), rig.sender.exchange
         for n in range(100):
             exchange.list_instances(UpdateScope.FULL, [make_endpoint(f"n{n}", rig.servers[0].port)])
-            exchange._waits.set(f"n{n}", 1 << 60)
+            exchange._retry_after_waits.set(f"n{n}", 1 << 60)
             await client.submit(f"m{n}")
             await rig.wait_for_end(f"m{n}")
         exchange.list_instances(UpdateScope.FULL, ())
         exchange.pump()
-        assert not rig.sender.pool.idle and not rig.sender.pool._idle_by_age and not exchange._waits
+        assert (
+            not rig.sender.pool.idle and not rig.sender.pool._idle_by_age and not exchange._retry_after_waits
+        )
         forwarder = exchange.forwarder
         assert not forwarder.endpoints and not forwarder.unlisted and not forwarder.attempts
-        assert not exchange.table.names() and not exchange._refs
+        assert not exchange.table.names() and not exchange._messages_by_ref
 
 
 @pytest.mark.parametrize(
-    ("end", "told", "after_s", "kept"),
+    ("end", "notice_sent", "after_s", "kept"),
     [
         (Ending.DELIVERED, False, 0, True),
         (Ending.DELIVERED, False, 2, False),
@@ -81,17 +85,17 @@
         (Ending.FAILED, False, 40, False),
     ],
 )
-def test_ends_are_forgotten_behind_their_message_but_not_before_their_notice(
-    tmp_path: Path, end: Ending, told: bool, after_s: int, kept: bool
+def test_final_answers_are_dropped_after_the_deadline_but_not_before_their_notice(
+    tmp_path: Path, end: Ending, notice_sent: bool, after_s: int, kept: bool
 ) -> None:
-    """They were kept for 30 s, and memory grew all through a day of one minute."""
+    """Final answers used to be kept for 30 s, so memory kept growing at a high message rate."""
     now = [0]
     journal = Journal(tmp_path, 3_000_000, lambda: now[0], keep_us_of={"platform": 1_000_000})
     journal.open()
     message = Message("m", "c", "t", 3, 5_000_000, b"", "platform")
     journal.take(message)
     journal.end(message, End(end))
-    if told:
+    if notice_sent:
         journal.told("m")
     now[0] = 5_000_000 + after_s * 1_000_000
     for n in range(EXPIRY_CHECK_END_COUNT):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -369,7 +369,7 @@
         (one.state / "mark").touch()
         await one.start(empty=True)
         assert not (one.state / "mark").exists()
-        assert "; 0 messages owed" in await one.logged("serving")
+        assert "; 0 messages recovered" in await one.logged("serving")
         one.disk_full()
         number, ready = 3, 200
         while ready == 200 and number < 300:  # the journal has some room that the disk gave before
@@ -512,7 +512,7 @@
     text = (Path(__file__).parents[1] / "deploy" / "operator.example.toml").read_text()
     path = tmp_path / "site.toml"
     path.write_text(text + '\n[peers]\nlisten = "127.0.0.1:1"\npeers = []\nall_at = "127.0.0.1:2"\n')
-    with pytest.raises(ConfigError, match="peers: senders tell each other something only where"):
+    with pytest.raises(ConfigError, match="peers: gossip between senders requires a"):
         operator_config(path)
 
 
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -31,19 +31,19 @@
 from tests import rig as rig_module
 from tests.rig import SETTINGS, Rig, discovery_entry, make_endpoint, on_loop
 from tests.rig import silent as silent_endpoint
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 
 OLD_PORT, NEW_PORT = 1, 2  # ports of discovery, before and after a move
 
 
-async def advance_time(desk: Desk, until: int, on_step: Callable[[], None] = lambda: None) -> None:
+async def advance_time(desk: ExchangeHarness, until: int, on_step: Callable[[], None] = lambda: None) -> None:
     """Advance a desk's virtual time, stepping from one due timer to the next."""
     while True:
         desk.exchange.pump()
         for _ in range(25):
             await asyncio.sleep(0)
         on_step()
-        due = desk.exchange._due_us  # of the timer wheel or of list changes that wait to be applied
+        due = desk.exchange._round_due_us  # of the timer wheel or of list changes that wait to be applied
         if due is None or due > until:
             break
         desk.now = max(desk.now, due)
@@ -97,7 +97,7 @@
     def __init__(
         self, folder: Path, *handlers: CallHandler, change_at_s: float = 3.0, **settings: Any
     ) -> None:
-        self.desk = Desk(folder, SETTINGS | settings)
+        self.desk = ExchangeHarness(folder, SETTINGS | settings)
         self.exchange, self.began = self.desk.exchange, self.desk.now
         self.handlers, self.seq = list(handlers), 5
         self.hosts = {"i0": (5, discovery_entry("i0", 1))}
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -27,7 +27,7 @@
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import LoopClock
 from tests.rig import Rig, on_loop, resp, silent
-from tests.test_core import SECOND_US, Desk
+from tests.test_core import SECOND_US, ExchangeHarness
 from tests.test_otlp import logs
 
 MILLISECOND_US = 1000
@@ -37,8 +37,8 @@
     """Simulate spans in which every round is late and new clients use a share of the CPU time."""
     for _ in range(count):
         for _ in range(10):
-            load_shedder.spent(new_client_share * load.SPAN_US / 10)
-            load_shedder._test_now += load.SPAN_US // 10  # type: ignore[attr-defined]
+            load_shedder.spent(new_client_share * load.WINDOW_US / 10)
+            load_shedder._test_now += load.WINDOW_US // 10  # type: ignore[attr-defined]
             load_shedder.record_delay(load_shedder._test_now, late_us)  # type: ignore[attr-defined]
 
 
@@ -53,17 +53,17 @@
     ("late_us", "level", "refuses"),
     [
         (0, Level.CALM, False),
-        (load.TIGHT_LATE_US - MILLISECOND_US, Level.CALM, False),
-        (load.TIGHT_LATE_US, Level.TIGHT, False),
-        (load.HARD_LATE_US - MILLISECOND_US, Level.TIGHT, False),
-        (load.HARD_LATE_US, Level.HARD, True),
+        (load.ELEVATED_DELAY_US - MILLISECOND_US, Level.CALM, False),
+        (load.ELEVATED_DELAY_US, Level.ELEVATED, False),
+        (load.OVERLOAD_DELAY_US - MILLISECOND_US, Level.ELEVATED, False),
+        (load.OVERLOAD_DELAY_US, Level.OVERLOADED, True),
     ],
 )
 def test_the_level_of_load_shedding_follows_the_delay_of_rounds(
     load_shedder: LoadShedder, late_us: int, level: Level, refuses: bool
 ) -> None:
     run_spans(load_shedder, 1, late_us)
-    assert load_shedder.level is level and any(load_shedder.refuses() for _ in range(10)) is refuses
+    assert load_shedder.level is level and any(load_shedder.early_refusal_us() for _ in range(10)) is refuses
 
 
 def test_one_late_iteration_in_a_span_does_not_change_the_level(load_shedder: LoadShedder) -> None:
@@ -74,65 +74,82 @@
 
 def test_a_span_in_which_nothing_ran_counts_as_late(load_shedder: LoadShedder) -> None:
     load_shedder.record_delay(5 * SECOND_US, 0)
-    assert load_shedder.level is Level.HARD
+    assert load_shedder.level is Level.OVERLOADED
 
 
 def test_the_level_falls_step_by_step_after_easy_spans(load_shedder: LoadShedder) -> None:
-    run_spans(load_shedder, 2, load.HARD_LATE_US)
+    run_spans(load_shedder, 2, load.OVERLOAD_DELAY_US)
     levels = list[Level]()
-    for easy in (load.EASY_SPANS - 1, None, load.EASY_SPANS - 1, 1, load.EASY_SPANS):
+    for easy in (load.EASE_WINDOW_COUNT - 1, None, load.EASE_WINDOW_COUNT - 1, 1, load.EASE_WINDOW_COUNT):
         if easy is None:
             run_spans(
-                load_shedder, 1, int(load.HARD_LATE_US * 0.7)
+                load_shedder, 1, int(load.OVERLOAD_DELAY_US * 0.7)
             )  # neither late nor easy: the count restarts
         else:
             load_shedder.refused_share = 0.0  # a share above 0 would keep the level
             run_spans(load_shedder, easy, 0)
         levels.append(load_shedder.level)
-    assert levels == [Level.HARD, Level.HARD, Level.HARD, Level.TIGHT, Level.CALM]
+    assert levels == [Level.OVERLOADED, Level.OVERLOADED, Level.OVERLOADED, Level.ELEVATED, Level.CALM]
 
 
 def test_an_overload_logs_one_line_at_its_begin_and_one_at_its_end(
     load_shedder: LoadShedder, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    run_spans(load_shedder, 3, load.TIGHT_LATE_US, 0.3)
-    run_spans(load_shedder, 3, load.HARD_LATE_US)
+    run_spans(load_shedder, 3, load.ELEVATED_DELAY_US, 0.3)
+    run_spans(load_shedder, 3, load.OVERLOAD_DELAY_US)
     while load_shedder.refused < 2:
-        load_shedder.refuses()
-    run_spans(load_shedder, 9 * load.EASY_SPANS, 0)
+        load_shedder.early_refusal_us()
+    run_spans(load_shedder, 9 * load.EASE_WINDOW_COUNT, 0)
     texts = [record.getMessage() for record in caplog.records]
     assert len(texts) == 2
-    assert texts[0] == "the core is full: rounds are 50 ms late, strangers use 30% of the time"
-    assert "has room again" in texts[1] and "2 messages were refused early" in texts[1]
+    assert texts[0] == "overload began: rounds are 50 ms late, new clients use 30% of the time"
+    assert "overload ended after" in texts[1] and "2 messages were refused early" in texts[1]
 
 
 def test_penalties_of_new_clients_grow_while_they_use_more_than_their_share(
     load_shedder: LoadShedder,
 ) -> None:
     run_spans(load_shedder, 3, 0, new_client_share=0.08)
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (
+        load.MIN_PENALTY_US,
+        load.MIN_PENALTY_COUNT,
+    )
     run_spans(
-        load_shedder, 30, load.HARD_LATE_US, new_client_share=0.08
+        load_shedder, 30, load.OVERLOAD_DELAY_US, new_client_share=0.08
     )  # over their share when the core is full
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_MOST_US, 100)
-    run_spans(load_shedder, 30, load.HARD_LATE_US, new_client_share=0.02)
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.PENALTY_US, load.PENALTIES)
-    assert load_shedder.penalties(16) == load.PENALTIES
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.MAX_PENALTY_US, 100)
+    run_spans(load_shedder, 30, load.OVERLOAD_DELAY_US, new_client_share=0.02)
+    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (
+        load.MIN_PENALTY_US,
+        load.MIN_PENALTY_COUNT,
+    )
+    assert load_shedder.penalties(16) == load.MIN_PENALTY_COUNT
 
 
 def test_the_share_of_early_refusals_follows_the_load(load_shedder: LoadShedder) -> None:
     """Refusing all or none at a level left two thirds of the work of a full core undone, and oscillated."""
     shares = list[float]()
-    for late_us in (load.HARD_LATE_US, load.HARD_LATE_US, int(load.HARD_LATE_US * 0.7), 0, 0, 0, 0, 0, 0, 0):
+    for late_us in (
+        load.OVERLOAD_DELAY_US,
+        load.OVERLOAD_DELAY_US,
+        int(load.OVERLOAD_DELAY_US * 0.7),
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+    ):
         run_spans(load_shedder, 1, late_us)
         shares.append(load_shedder.refused_share)
     assert shares[:5] == pytest.approx([0.25, 0.5, 0.5, 0.3, 0.18]) and shares[-1] == 0.0
     load_shedder.refused_share = 0.3
-    refused = [bool(load_shedder.refuses()) for _ in range(40)]
+    refused = [bool(load_shedder.early_refusal_us()) for _ in range(40)]
     assert sum(refused) in (11, 12) and all(1 <= sum(refused[n : n + 8]) <= 3 for n in range(32))
-    run_spans(load_shedder, 1, load.HARD_LATE_US)
-    assert load_shedder.level is Level.HARD
+    run_spans(load_shedder, 1, load.OVERLOAD_DELAY_US)
+    assert load_shedder.level is Level.OVERLOADED
 
 
 def test_new_connections_are_paced_to_the_share_of_new_clients_on_a_full_core(
@@ -140,30 +157,30 @@
 ) -> None:
     load_shedder.wasted(10 * SECOND_US)
     assert load_shedder.pace_us(0) == 0  # the core has room
-    run_spans(load_shedder, 1, load.TIGHT_LATE_US)
-    now, taken = load.SPAN_US, 0
+    run_spans(load_shedder, 1, load.ELEVATED_DELAY_US)
+    now, taken = load.WINDOW_US, 0
     load_shedder.pace_us(now)
     load_shedder._debt_us = 0.0
     while now < 20 * SECOND_US:  # each connection comes as soon as it may, and costs 1 ms
         if wait_us := load_shedder.pace_us(now):
-            assert wait_us <= load.PACE_MOST_US
+            assert wait_us <= load.MAX_PACING_DELAY_US
             now += wait_us
         else:
             load_shedder.wasted(1 * MILLISECOND_US)
             now, taken = now + 1 * MILLISECOND_US, taken + 1
-    share = load.STRANGERS_SHARE[Level.TIGHT]
-    assert taken * MILLISECOND_US == pytest.approx(19.5 * SECOND_US * share + load.DEBT_US, rel=0.05)
+    share = load.NEW_CLIENT_SHARES[Level.ELEVATED]
+    assert taken * MILLISECOND_US == pytest.approx(19.5 * SECOND_US * share + load.MAX_DEBT_US, rel=0.05)
 
 
 def test_the_core_counts_as_full_while_new_clients_are_paced(load_shedder: LoadShedder) -> None:
-    run_spans(load_shedder, 1, load.TIGHT_LATE_US)
-    for _ in range(3 * load.EASY_SPANS):
+    run_spans(load_shedder, 1, load.ELEVATED_DELAY_US)
+    for _ in range(3 * load.EASE_WINDOW_COUNT):
         load_shedder.wasted(5 * SECOND_US)
         assert load_shedder.pace_us(load_shedder._test_now)  # type: ignore[attr-defined]
         run_spans(load_shedder, 1, 0)
     levels = [load_shedder.level]
-    run_spans(load_shedder, load.EASY_SPANS, 0)
-    assert [*levels, load_shedder.level] == [Level.TIGHT, Level.CALM]
+    run_spans(load_shedder, load.EASE_WINDOW_COUNT, 0)
+    assert [*levels, load_shedder.level] == [Level.ELEVATED, Level.CALM]
 
 
 class RecordingDelayMonitor:
@@ -286,11 +303,11 @@
 async def test_a_full_core_rejects_a_request_that_arrives_in_single_bytes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(load, "STRANGER_MOST_US", 3 * MILLISECOND_US)
-    monkeypatch.setattr(load, "PIECES_US", SECOND_US)  # no collecting of small pieces
+    monkeypatch.setattr(load, "MAX_CLIENT_TIME_US", 3 * MILLISECOND_US)
+    monkeypatch.setattr(load, "SLOW_READ_COST_US", SECOND_US)  # no collecting of small pieces
     async with Rig(tmp_path, silent) as rig:
         began, client = asyncio.get_running_loop().time(), await rig.client()
-        rig.sender.exchange.load_shedder.level = Level.TIGHT
+        rig.sender.exchange.load_shedder.level = Level.ELEVATED
         with contextlib.suppress(OSError):  # the connection is closed during a write
             for byte in b"*5\r\n$6\r\nSUBMIT\r\n$9000\r\n" + b"x" * 8000:
                 if client.stream.ended:
@@ -321,10 +338,10 @@
     """
     async with Rig(tmp_path, silent) as rig:
         front = rig.sender.fronts[0][0]
-        front.load_shedder.level, talk = Level.TIGHT, front.talk
+        front.load_shedder.level, talk = Level.ELEVATED, front.talk
 
         async def talk_after_step(stream: Stream) -> None:
-            step(3 * load.STRANGER_MOST_US / 1e6)
+            step(3 * load.MAX_CLIENT_TIME_US / 1e6)
             await talk(stream)
 
         front.talk = talk_after_step  # type: ignore[method-assign]
@@ -358,10 +375,10 @@
 async def test_a_full_core_collects_single_bytes_and_times_the_request_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(load, "PIECES_US", 300)
+    monkeypatch.setattr(load, "SLOW_READ_COST_US", 300)
     async with Rig(tmp_path, silent) as rig:
         loop, front, steps = asyncio.get_running_loop(), rig.sender.fronts[0][0], list[float]()
-        rig.sender.exchange.load_shedder.level = Level.TIGHT
+        rig.sender.exchange.load_shedder.level = Level.ELEVATED
         charge = front._charge_cpu
         front._charge_cpu = lambda stream, us: (steps.append(us), charge(stream, us))[1]  # type: ignore
         began, client, sent = loop.time(), await rig.client(), 0
@@ -446,8 +463,8 @@
 def test_the_time_of_a_client_that_makes_a_good_request_is_credited_back(load_shedder: LoadShedder) -> None:
     load_shedder.spent(400 * MILLISECOND_US)
     load_shedder.spent(-400 * MILLISECOND_US)
-    run_spans(load_shedder, 1, load.TIGHT_LATE_US)
-    assert load_shedder.share == 0.0
+    run_spans(load_shedder, 1, load.ELEVATED_DELAY_US)
+    assert load_shedder.new_client_share == 0.0
 
 
 @on_loop
@@ -486,7 +503,7 @@
 @pytest.mark.parametrize("entry", ["run_overdue_round", "submit", "too_busy"])
 def test_a_message_ends_in_time_though_every_round_is_late(tmp_path: Path, entry: str) -> None:
     """On a full core rounds were late, and a message got no end in time."""
-    desk, reported = Desk(tmp_path), dict[str, int]()
+    desk, reported = ExchangeHarness(tmp_path), dict[str, int]()
     desk.exchange.listeners["platform"] = lambda m, end: reported.update({m.id: desk.now - m.deadline_us})
     desk.submit("order")  # an attempt in progress, without a response
     for n in range(6):
@@ -506,7 +523,7 @@
 
 
 def test_the_end_of_a_message_is_reported_in_its_round(tmp_path: Path) -> None:
-    desk, reported = Desk(tmp_path), list[str]()
+    desk, reported = ExchangeHarness(tmp_path), list[str]()
     desk.exchange.listeners["platform"] = lambda m, end: reported.append(m.id)
     desk.exchange.round_over = lambda: reported.append("over")
     desk.submit("order")
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -42,7 +42,7 @@
 )
 from rowanrack.record.recorder import Recorder, RecordingWriter
 from rowanspindle import Result
-from tests.test_core import Desk
+from tests.test_core import ExchangeHarness
 from tests.test_model import cli
 from tests.test_parts import OPERATOR_SETTINGS
 
@@ -157,7 +157,7 @@
 
 def test_sender_records_events_without_bodies_and_ids(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
-    desk = Desk(tmp_path / "state")
+    desk = ExchangeHarness(tmp_path / "state")
     recorder = Recorder("desk", desk.exchange, ImmediateWriter(tmp_path / "a.rec"))  # type: ignore[arg-type]
     recorder.start()
     attempt = desk.submit("secret-id")
@@ -241,7 +241,7 @@
     A file can be read only if its first record describes the sender.
     """
     (tmp_path / "state").mkdir()
-    desk, disk = Desk(tmp_path / "state"), RecordingWriter(tmp_path / "rec", "s", 2_000)
+    desk, disk = ExchangeHarness(tmp_path / "state"), RecordingWriter(tmp_path / "rec", "s", 2_000)
     recorder = Recorder("s", desk.exchange, disk)
     recorder.start()
     disk.close()
@@ -265,7 +265,7 @@
 
     monkeypatch.setattr(FileWriter, "append", fail_disk_full)
     (tmp_path / "state").mkdir()
-    desk = Desk(tmp_path / "state")
+    desk = ExchangeHarness(tmp_path / "state")
     disk = RecordingWriter(tmp_path / "rec", "s", 1 << 20)
     recorder = Recorder("s", desk.exchange, disk)
     recorder.start()
@@ -296,7 +296,7 @@
 
 def test_slow_disk_leaves_a_counted_gap(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
-    desk, immediate = Desk(tmp_path / "state"), ImmediateWriter(tmp_path / "a.rec")
+    desk, immediate = ExchangeHarness(tmp_path / "state"), ImmediateWriter(tmp_path / "a.rec")
     recorder = Recorder("s", desk.exchange, immediate)  # type: ignore[arg-type]
     recorder.start()
     recorder.flush()
@@ -544,7 +544,7 @@
 @pytest.mark.parametrize("form", ["plain", "json"])
 def test_log_has_the_same_content_in_both_formats(form: str) -> None:
     code = (
-        "import logging, sys; from rowanrack import logs; logs.set_up(sys.argv[1]); "
+        "import logging, sys; from rowanrack import logs; logs.set_up_logging(sys.argv[1]); "
         "print('structlog' in sys.modules)\n"
         "logging.getLogger('rowanrack.core').warning('message %s is late', 'm1')\n"
         "try: 1 / 0\nexcept ArithmeticError: logging.getLogger('x').exception('failed')"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: a new configuration is taken over whole or not at all, and nothing owed or under way is lost."""
+"""SIGHUP: a new configuration is applied completely or not at all, and no message or call is lost."""
 
 from __future__ import annotations
 
@@ -29,18 +29,20 @@
 OK = Reply(200, {})
 
 
-@pytest.mark.parametrize("bad", ["{", "[]", "{}", "no discovery", "bad address", "bad list", "bad settings"])
+@pytest.mark.parametrize(
+    "invalid", ["{", "[]", "{}", "no discovery", "bad address", "bad list", "bad settings"]
+)
 @on_loop
-async def test_a_bad_file_is_logged_and_the_old_one_stays(tmp_path: Path, bad: str) -> None:
+async def test_invalid_file_is_logged_and_the_old_configuration_stays(tmp_path: Path, invalid: str) -> None:
     async with Rig(tmp_path, answers(OK)) as rig, Process(rig, tmp_path) as process:
         doc = json.loads(process.config.read_text())
-        spoilt = {
+        invalid_docs = {
             "no discovery": doc | {"discovery": ["x"]},
             "bad address": doc | {"discovery": "127.0.0.1:0"},
             "bad list": doc | {"known": {"seq": 1}},
             "bad settings": doc | {"settings": {}},
         }
-        process.config.write_text(json.dumps(spoilt[bad]) if bad in spoilt else bad)
+        process.config.write_text(json.dumps(invalid_docs[invalid]) if invalid in invalid_docs else invalid)
         process.child.send_signal(signal.SIGHUP)
         await process.wait_for_log("the old configuration stays")
         assert await (await process.client()).submit("m1") == b"+OK\r\n"
@@ -48,21 +50,21 @@
 
 
 @on_loop
-async def test_watch_and_notices_move_and_calls_go_on(tmp_path: Path) -> None:
-    """Twice in a row, then a restart: what was pending at the old address is told at the newest."""
+async def test_reload_redirects_watch_and_notices_without_affecting_calls(tmp_path: Path) -> None:
+    """Reload twice, then restart: notices pending for the old address are sent to the newest one."""
     release = asyncio.Event()
 
-    async def held_up(request: Request) -> Reply | None:
+    async def delayed_answer(request: Request) -> Reply | None:
         if request.headers["x-txn"] == "m1":
             return None
         await release.wait()
         return OK
 
-    async with Rig(tmp_path, held_up) as rig, Process(rig, tmp_path) as process:
+    async with Rig(tmp_path, delayed_answer) as rig, Process(rig, tmp_path) as process:
         process.platform.notice_statuses = [503]
         client = await process.client()
         assert await client.submit("m1", "print-order") == b"+OK\r\n"  # its notice stays pending
-        assert await client.submit("m2", "print-order") == b"+OK\r\n"  # its call is out all the time
+        assert await client.submit("m2", "print-order") == b"+OK\r\n"  # its call stays open throughout
         await rig.servers[0].wait_for_requests(2)
         second, third = Platform(), Platform()
         second.notice_statuses = [503]
@@ -70,7 +72,7 @@
             for platform in (second, third):
                 process.configure(platform)
                 process.child.send_signal(signal.SIGHUP)
-                await process.wait_for_log("configuration is taken over")
+                await process.wait_for_log("the new configuration is in force")
             assert (await third.wait_for_notice("m1"))["outcome"] == "given_up"
             while not any(r.target.startswith("/v1/servers?index=1") for r in third.requests):
                 await third.wait_for_requests(len(third.requests) + 1)
@@ -85,7 +87,7 @@
 
 
 @on_loop
-async def test_a_watch_waits_for_a_new_address_that_opens_late(tmp_path: Path) -> None:
+async def test_watch_retries_a_new_address_until_it_opens(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK)) as rig:
         await rig.platform.wait_for_requests(1)
         late = Platform()
@@ -94,7 +96,7 @@
         config = rig.sender.config
         assert config.platform is not None
         rig.sender.reload(replace(config, platform=replace(config.platform, discovery=("127.0.0.1", port))))
-        async with rig.platform.requests_changed:  # the old address has no caller any more
+        async with rig.platform.requests_changed:  # nothing connects to the old address any more
             assert len(rig.platform.requests) == 1
         while rig.sender.watch is not None and rig.sender.watch.failures_since_move < 3:
             await asyncio.sleep(0)
@@ -105,7 +107,7 @@
 
 
 @on_loop
-async def test_a_reload_takes_over_instances_and_the_otlp_map(tmp_path: Path) -> None:
+async def test_reload_applies_endpoints_and_the_otlp_map(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(OK), silent) as rig:
         config, sender = rig.sender.config, rig.sender
         assert config.otlp is not None
@@ -126,7 +128,7 @@
 
 
 @on_loop
-async def test_what_a_reload_may_not_change_is_named(tmp_path: Path) -> None:
+async def test_settings_that_need_a_restart_are_named(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         config = rig.sender.config
         assert config.platform is not None and config.otlp is not None
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a sender: each event in each phase, on a clock of its own and in real processes."""
+"""The shutdown sequence: each event in each phase with a simulated clock, and in real processes."""
 
 from __future__ import annotations
 
@@ -14,94 +14,101 @@
 from rowanrack.app import serve
 from rowanrack.fronts.platform.discovery import DiscoveryWatch
 from rowanrack.net.http import Reply
-from rowanrack.shutdown import Limits, Phase, Shutdown
+from rowanrack.shutdown import Phase, Shutdown, ShutdownLimits
 from tests.rig import Platform, Process, Rig, answers, on_loop, silent
 
-LIMITS = Limits()
+LIMITS = ShutdownLimits()
 MS = 1000
 
 
 class Sequence:
-    """A sequence whose clock and parts the test moves."""
+    """A shutdown sequence whose clock and other parts the test controls."""
 
     def __init__(self, successor: bool = False) -> None:
-        self.now_us, self.successor, self.is_settled = 7_000_000, successor, False
-        self.done = list[tuple[str, int]]()
+        self.now_us, self.successor, self.all_settled = 7_000_000, successor, False
+        self.steps_taken = list[tuple[str, int]]()
         self.shutdown = Shutdown(self, lambda: self.now_us)
-        self.told_us = self.now_us
+        self.requested_at_us = self.now_us
 
-    def takes_over(self) -> bool:
+    def successor_takes_over(self) -> bool:
         return self.successor
 
     def drain(self) -> None:
-        self.done.append(("drain", self.now_us - self.told_us))
+        self.steps_taken.append(("drain", self.now_us - self.requested_at_us))
 
     def freeze(self) -> None:
-        self.done.append(("freeze", self.now_us - self.told_us))
+        self.steps_taken.append(("freeze", self.now_us - self.requested_at_us))
 
     def settled(self) -> bool:
-        return self.is_settled
+        return self.all_settled
 
     def reach(self, phase: Phase) -> None:
-        """Come to a phase by the usual way, and not a microsecond further."""
+        """Advance to a phase in the usual way, and stop as soon as it is reached."""
         if phase is Phase.STARTING:
             return
-        self.shutdown.owns()
+        self.shutdown.mark_messages_owned()
         if phase is Phase.OPENING:
             return
-        self.shutdown.serves()
+        self.shutdown.mark_ports_open()
         if phase is Phase.SERVING:
             return
-        self.tell()
+        self.request()
         while self.shutdown.phase is not phase:
             self.now_us += self.shutdown.advance()
 
-    def tell(self) -> None:
-        self.told_us = self.now_us
-        self.shutdown.tell()
+    def request(self) -> None:
+        self.requested_at_us = self.now_us
+        self.shutdown.request()
 
-    def run_out(self) -> int:
-        """To the end; when that is, in microseconds since SIGTERM."""
+    def run_until_exit(self) -> int:
+        """Advance until the sequence exits; return the time since SIGTERM in microseconds."""
         while wait_us := self.shutdown.advance():
             self.now_us += wait_us
-        return self.now_us - self.told_us
+        return self.now_us - self.requested_at_us
 
 
 @pytest.mark.parametrize(
     ("successor", "steps"),
     [(False, [("drain", 500 * MS), ("freeze", 2000 * MS)]), (True, [("freeze", 0), ("drain", 0)])],
 )
-def test_what_does_not_settle_is_left_in_time(successor: bool, steps: list[tuple[str, int]]) -> None:
+def test_sequence_exits_in_time_if_calls_do_not_settle(successor: bool, steps: list[tuple[str, int]]) -> None:
     sequence = Sequence(successor)
     sequence.reach(Phase.SERVING)
-    sequence.tell()
-    assert sequence.run_out() == LIMITS.settle_us
-    assert sequence.done == steps and sequence.shutdown.log_end_us() == 400 * MS
+    sequence.request()
+    assert sequence.run_until_exit() == LIMITS.settle_until_us
+    assert sequence.steps_taken == steps and sequence.shutdown.log_close_timeout_us() == 400 * MS
 
 
-@pytest.mark.parametrize("phase", [Phase.STILL_COMING, Phase.DRAINING, Phase.FROZEN])
-def test_it_leaves_once_all_is_settled_but_not_while_new_connections_come(phase: Phase) -> None:
+@pytest.mark.parametrize("phase", [Phase.ACCEPTING, Phase.DRAINING, Phase.FROZEN])
+def test_sequence_exits_once_settled_but_not_while_connections_still_arrive(phase: Phase) -> None:
     sequence = Sequence()
     sequence.reach(phase)
-    sequence.is_settled = True
-    at_us = sequence.now_us - sequence.told_us
-    assert sequence.run_out() == max(at_us, LIMITS.still_coming_us)
-    assert sequence.shutdown.log_end_us() == LIMITS.log_end_us
+    sequence.all_settled = True
+    at_us = sequence.now_us - sequence.requested_at_us
+    assert sequence.run_until_exit() == max(at_us, LIMITS.accept_until_us)
+    assert sequence.shutdown.log_close_timeout_us() == LIMITS.max_log_close_us
 
 
-@pytest.mark.parametrize("phase", [Phase.STILL_COMING, Phase.DRAINING, Phase.FROZEN, Phase.LEFT])
-def test_a_second_sigterm_changes_nothing(phase: Phase) -> None:
-    sequence, undisturbed = Sequence(), Sequence()
-    for each in (sequence, undisturbed):
+@pytest.mark.parametrize("phase", [Phase.ACCEPTING, Phase.DRAINING, Phase.FROZEN, Phase.EXITED])
+def test_second_sigterm_has_no_effect(phase: Phase) -> None:
+    sequence, reference = Sequence(), Sequence()
+    for each in (sequence, reference):
         each.reach(phase)
-    sequence.shutdown.tell()
-    assert (sequence.run_out(), sequence.done) == (undisturbed.run_out(), undisturbed.done)
+    sequence.shutdown.request()
+    assert (sequence.run_until_exit(), sequence.steps_taken) == (
+        reference.run_until_exit(),
+        reference.steps_taken,
+    )
 
 
-def test_sigterm_ahead_of_what_is_owned_ends_the_start() -> None:
+def test_sigterm_before_messages_are_owned_ends_the_start() -> None:
     sequence = Sequence()
-    sequence.tell()
-    assert sequence.shutdown.phase is Phase.LEFT and sequence.run_out() == 0 and not sequence.done
+    sequence.request()
+    assert (
+        sequence.shutdown.phase is Phase.EXITED
+        and sequence.run_until_exit() == 0
+        and not sequence.steps_taken
+    )
 
 
 @pytest.mark.parametrize(
@@ -113,61 +120,64 @@
         (4000 * MS, [("drain", 4000 * MS), ("freeze", 4000 * MS)]),
     ],
 )
-def test_the_times_count_from_sigterm_though_the_start_ends_late(
+def test_times_count_from_sigterm_even_if_the_start_ends_later(
     late_us: int, steps: list[tuple[str, int]]
 ) -> None:
     sequence = Sequence()
     sequence.reach(Phase.OPENING)
-    sequence.tell()
+    sequence.request()
     sequence.now_us += late_us
-    sequence.shutdown.serves()
-    assert sequence.run_out() == max(late_us, LIMITS.settle_us)
-    assert sequence.done == steps
+    sequence.shutdown.mark_ports_open()
+    assert sequence.run_until_exit() == max(late_us, LIMITS.settle_until_us)
+    assert sequence.steps_taken == steps
 
 
 @pytest.mark.parametrize(
     ("phase", "successor"),
-    [(Phase.STILL_COMING, False), (Phase.DRAINING, False), (Phase.FROZEN, False), (Phase.FROZEN, True)],
+    [(Phase.ACCEPTING, False), (Phase.DRAINING, False), (Phase.FROZEN, False), (Phase.FROZEN, True)],
 )
-def test_a_successor_that_comes_or_goes_later_changes_nothing(phase: Phase, successor: bool) -> None:
-    """What is owed here stays here, or goes on in the next process, as it was decided at SIGTERM."""
-    sequence, undisturbed = Sequence(successor), Sequence(successor)
-    for each in (sequence, undisturbed):
+def test_successor_appearing_or_leaving_after_sigterm_has_no_effect(phase: Phase, successor: bool) -> None:
+    """SIGTERM decides whether messages stay here or pass to the next process; later changes do not."""
+    sequence, reference = Sequence(successor), Sequence(successor)
+    for each in (sequence, reference):
         each.reach(phase)
     sequence.successor = not successor
-    assert (sequence.run_out(), sequence.done) == (undisturbed.run_out(), undisturbed.done)
+    assert (sequence.run_until_exit(), sequence.steps_taken) == (
+        reference.run_until_exit(),
+        reference.steps_taken,
+    )
 
 
 @pytest.mark.parametrize("readings", range(1, 6))
-def test_a_limit_that_passes_within_a_look_ends_nothing_early(readings: int) -> None:
-    """A clock that goes on with each reading: the sender must not leave before it has drained."""
+def test_limit_that_passes_between_two_clock_readings_skips_no_phase(readings: int) -> None:
+    """The clock advances with each reading; the sender must not exit before it has drained."""
     sequence = Sequence()
     sequence.reach(Phase.SERVING)
-    sequence.tell()
-    sequence.now_us += LIMITS.still_coming_us - readings  # it passes with that reading
+    sequence.request()
+    sequence.now_us += LIMITS.accept_until_us - readings  # the limit passes with that reading
 
     def now_us() -> int:
         sequence.now_us += 1
         return sequence.now_us
 
     sequence.shutdown._now_us = now_us
-    assert sequence.run_out() >= LIMITS.settle_us and sequence.shutdown.phase is Phase.LEFT
-    assert [name for name, _ in sequence.done] == ["drain", "freeze"]
+    assert sequence.run_until_exit() >= LIMITS.settle_until_us and sequence.shutdown.phase is Phase.EXITED
+    assert [name for name, _ in sequence.steps_taken] == ["drain", "freeze"]
 
 
-def test_a_phase_does_not_come_again() -> None:
+def test_phase_is_never_entered_again() -> None:
     sequence = Sequence()
     sequence.reach(Phase.DRAINING)
-    with pytest.raises(ValueError, match="draining is not followed by serving"):
-        sequence.shutdown.serves()
+    with pytest.raises(ValueError, match="cannot change from phase draining to serving"):
+        sequence.shutdown.mark_ports_open()
 
 
-# In real processes and on real sockets.
+# Tests with real processes and sockets.
 
 
 @pytest.mark.parametrize("command", [("serve",), ("serve", "--log", "json")])
-def test_a_sighup_to_a_sender_that_still_imports_its_parts_does_not_end_it(command: tuple[str, ...]) -> None:
-    """A hang-up comes right when the command line's module is looked for: the process ended by the signal."""
+def test_sighup_during_imports_does_not_end_the_process(command: tuple[str, ...]) -> None:
+    """A SIGHUP during the import of the command line's module used to end the process."""
     script = (
         "import os, runpy, signal, sys\n"
         "class Hangup:\n"
@@ -181,14 +191,15 @@
     env = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
     call = [sys.executable, "-c", script]
     ended = subprocess.run(call, env=env, capture_output=True, timeout=30, check=False)
-    assert ended.returncode == 1 and b"rowanrack: " in ended.stderr  # it came to want its configuration
+    # it got as far as reading its configuration
+    assert ended.returncode == 1 and b"rowanrack: " in ended.stderr
 
 
 @on_loop
-async def test_sigterm_while_the_first_list_is_waited_for_ends_the_start_and_begins_nothing(
+async def test_sigterm_while_waiting_for_the_first_list_exits_without_any_call(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The start went on to its end, and the times of the restart counted from there."""
+    """The start used to run to its end, and the shutdown times counted from there instead of from SIGTERM."""
     async with Rig(tmp_path, silent) as rig:
         await (await rig.client()).submit("m1")
         await rig.servers[0].wait_for_requests(1)
@@ -211,28 +222,28 @@
 
 
 @on_loop
-async def test_sigterm_while_the_ports_open_is_served_out_from_when_it_came(
+async def test_shutdown_times_count_from_a_sigterm_during_port_opening(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with Rig(tmp_path, answers(Reply(200, {}))) as rig:
         rig.sender.close()
-        loop, told = asyncio.get_running_loop(), list[float]()
-        plain = loop.getaddrinfo
+        loop, signalled_at = asyncio.get_running_loop(), list[float]()
+        real_getaddrinfo = loop.getaddrinfo
 
-        async def tell_while_opening(*args: object, **kwargs: object) -> object:
-            if not told:
+        async def signal_while_opening(*args: object, **kwargs: object) -> object:
+            if not signalled_at:
                 os.kill(os.getpid(), signal.SIGTERM)
-                told.append(loop.time())
-                await asyncio.sleep(LIMITS.still_coming_us / 1e6)
-            return await plain(*args, **kwargs)  # type: ignore[arg-type]
+                signalled_at.append(loop.time())
+                await asyncio.sleep(LIMITS.accept_until_us / 1e6)
+            return await real_getaddrinfo(*args, **kwargs)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(loop, "getaddrinfo", tell_while_opening)
+        monkeypatch.setattr(loop, "getaddrinfo", signal_while_opening)
         await serve(rig.config)
-        assert loop.time() - told[0] < 2 * LIMITS.still_coming_us / 1e6
+        assert loop.time() - signalled_at[0] < 2 * LIMITS.accept_until_us / 1e6
 
 
 @on_loop
-async def test_sighup_while_it_ends_moves_what_is_still_to_be_told(tmp_path: Path) -> None:
+async def test_sighup_during_shutdown_redirects_pending_notices(tmp_path: Path) -> None:
     async with Rig(tmp_path, answers(None)) as rig, Process(rig, tmp_path) as process:
         process.platform.notice_statuses = [503]
         assert await (await process.client()).submit("m1", "print-order") == b"+OK\r\n"
