--- a/rowanrack/console/snapshot.py
+++ b/rowanrack/console/snapshot.py
@@ -5,7 +5,8 @@
 from typing import Any
 
 from rowanrack.core.exchange import Exchange
-from rowanspindle.logic import Destination, Endpoint
+from rowanspindle.endpoint import Endpoint
+from rowanspindle.logic import Destination
 
 
 def endpoint_state(endpoint: Endpoint, now_us: int) -> str:
--- a/rowanrack/model/worker.py
+++ b/rowanrack/model/worker.py
@@ -17,6 +17,7 @@
 MODULES = {
     "logic": "rowanspindle.logic",
     "pacing": "rowanspindle.pacing",
+    "endpoint": "rowanspindle.endpoint",
     "slow_start": "rowanspindle.slow_start",
     "exchange": "rowanrack.core.exchange",
     "governor": "rowanrack.load.load_shedder",
--- a/rowanspindle/pacing.py
+++ b/rowanspindle/pacing.py
@@ -22,7 +22,7 @@
 from rowanspindle.held_messages import INITIAL_RATE_WEIGHT, RATE_MEMORY_S
 
 if TYPE_CHECKING:
-    from rowanspindle.logic import Endpoint
+    from rowanspindle.endpoint import Endpoint
     from rowanspindle.state import Call
 
 SECOND_US = 1_000_000
--- a/tests/test_measured.py
+++ b/tests/test_measured.py
@@ -6,7 +6,7 @@
 
 from rowanspindle import Disconnect, EndpointListUpdate, Result, Send, UpdateScope
 from rowanspindle.data_structures import RunningMean
-from rowanspindle.logic import SMOOTHING
+from rowanspindle.endpoint import SMOOTHING
 from tests.helpers import SECOND_US, Caller, member
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
     Send,
     UpdateScope,
 )
-from rowanspindle.logic import Endpoint
+from rowanspindle.endpoint import Endpoint
 from rowanspindle.pacing import SharedLimit
 from tests.helpers import BASE, SECOND_US, Caller, member
 
