--- a/benchmarks/notes.py
+++ b/benchmarks/notes.py
@@ -90,7 +90,10 @@
             for forwarder, own in ((f, n) for f, n in held if n):
                 endpoint = next(iter(forwarder.destinations[dest].endpoints.values()), None)
                 if endpoint is not None:
-                    forwarder.now, since = self.world.engine.now, forwarder.destinations[dest].held.since
+                    forwarder.now, since = (
+                        self.world.engine.now,
+                        forwarder.destinations[dest].held.oldest_accepted_at,
+                    )
                     believed = forwarder.active_senders(endpoint, since)[0]
                     used += 1 / believed
                     self.errors.append(abs(math.log2(believed * own / sum_held)))
@@ -119,11 +122,11 @@
     way = way_of(text)
     senders.NOTES_TO = way.to
     if way.to:
-        gossip.MAX_SENDERS_ALL_TELL = (
+        gossip.MAX_SENDERS_ALL_REPORT = (
             1 << 20
         )  # pacing and trust go on as they are, unless they are to be as few
     if way.few:
-        pacing.MAX_SENDERS_ALL_TELL = connection_reuse.MAX_SENDERS_ALL_TELL = 1 << 20  # type: ignore[attr-defined]
+        pacing.MAX_SENDERS_ALL_REPORT = connection_reuse.MAX_SENDERS_ALL_REPORT = 1 << 20  # type: ignore[attr-defined]
     if way.facts:
         gossip.Gossip.update_held = lambda *_: None  # type: ignore[method-assign]
         senders.HearsayOfSome.active_senders = lambda *_: None  # type: ignore[method-assign]
--- a/rowanrack/app.py
+++ b/rowanrack/app.py
@@ -23,21 +23,21 @@
 from rowanrack.consul import ConsulSource
 from rowanrack.core.exchange import Exchange
 from rowanrack.core.messages import Message
-from rowanrack.fronts.mgmt.calls import NotKeptError
+from rowanrack.fronts.mgmt.calls import NotWrittenError
 from rowanrack.fronts.mgmt.server import ManagementServer
-from rowanrack.fronts.otlp import FRONT as OTLP
-from rowanrack.fronts.platform import FRONT as PLATFORM
+from rowanrack.fronts.otlp import FRONT_NAME as OTLP
+from rowanrack.fronts.platform import FRONT_NAME as PLATFORM
 from rowanrack.fronts.platform.clients import PlatformClients
 from rowanrack.fronts.platform.discovery import DiscoveryWatch
-from rowanrack.fronts.platform.inbox import InboxForm
+from rowanrack.fronts.platform.inbox import InboxCallProtocol
 from rowanrack.fronts.platform.notices import Notices
 from rowanrack.net.listener import Listener
 from rowanrack.net.peers import PeerPort
-from rowanrack.net.pool import CallForm, EndpointPool
+from rowanrack.net.pool import CallProtocol, EndpointPool
 from rowanrack.net.timing import LoopClock, pause
 from rowanrack.recovery import own_recovered
 from rowanrack.shutdown import Phase, Shutdown
-from rowanrack.store.bans import BanFile
+from rowanrack.store.bans import DetachedEndpointFile
 from rowanrack.store.journal import Journal
 from rowanrack.store.outages import OutageFile
 from rowanspindle import UpdateScope
@@ -88,11 +88,11 @@
             config.state,
             config.disk_bytes,
             self.clock.unix_us,
-            keep_us_of=retention_us,
+            retention_us_by_front=retention_us,
             attempts=config.settings.try_limit,
         )
         self.exchange = Exchange(config.settings, config.seed, self.clock, self.journal, config.tick_us)
-        self.forms: dict[str, CallForm] = {PLATFORM: InboxForm(config.settings.reports)}
+        self.forms: dict[str, CallProtocol] = {PLATFORM: InboxCallProtocol(config.settings.reports)}
         self.descriptor_budget = DescriptorBudget.of(config.sockets, config.settings.slots)
         self.pool = EndpointPool(self.exchange, self.forms, self.descriptor_budget.idle)
         self.exchange.endpoint_calls = self.pool
@@ -103,14 +103,14 @@
         self.notices: Notices | None = None
         self.otlp: OtlpClients | None = None
         self.recorder: Recorder | None = None
-        self.bans = BanFile(config.state)
+        self.bans = DetachedEndpointFile(config.state)
         self.outages = OutageFile(config.state)
         # Ban changes in force but not on disk yet: True for a ban, False for a lifted one.
         self.unwritten_bans: dict[str, bool] = {}
         self.mgmt: ManagementServer | None = None
         self.peers: PeerPort | None = None
         self.channels: ChannelPart | None = None
-        self.lame = False
+        self.lame_duck = False
         self.stop_requested = asyncio.Event()  # set on SIGTERM or SIGINT
         self._started = False
         # A reload that SIGHUP requested before the start was complete.
@@ -121,24 +121,28 @@
 
     def ready(self) -> bool:
         """Return whether this process serves: started, not in lame duck, not stopping, and able to record."""
-        return not self.unready()
+        return not self.unready_reason()
 
-    def unready(self) -> str:
+    def unready_reason(self) -> str:
         """Return in one line why this process does not serve, or an empty string if it does."""
         if self.shutdown.requested:
             return "leaving"
         if self.shutdown.phase is not Phase.SERVING:
             return "starting"
-        if self.lame:
+        if self.lame_duck:
             return "lame duck"
-        return "" if self.journal.recording() else f"the journal records nothing new: {self.journal.trouble}"
+        return (
+            ""
+            if self.journal.can_record()
+            else f"the journal records nothing new: {self.journal.write_error}"
+        )
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Return the metrics in the text exposition format."""
         exchange = self.exchange
         classes = list(exchange.settings.classes)
-        return exchange.figures.exposition(
-            classes, len(exchange.messages), len(exchange.table.names()), exchange.ejected
+        return exchange.metrics.exposition(
+            classes, len(exchange.messages), len(exchange.endpoint_list.names()), exchange.ejected
         )
 
     def detach(self, name: str) -> bool:
@@ -152,8 +156,8 @@
     def _change_ban(self, name: str, banned: bool) -> bool:
         """Change a ban, and write the bans for the next restart and the other process.
 
-        The bans on disk are read first. Raises NotKeptError if they cannot be written: the change is in force
-        all the same, and is written once there is room.
+        The bans on disk are read first. Raises NotWrittenError if they cannot be written: the change is in
+        force all the same, and is written once there is room.
         """
         self._read_bans()
         if not (self.exchange.detach if banned else self.exchange.attach)(name):
@@ -166,7 +170,7 @@
             log.error(
                 "mgmt: cannot write the list of detached endpoints, will retry; it is in force: %s", reason
             )
-            raise NotKeptError(reason)
+            raise NotWrittenError(reason)
         return True
 
     def _write_bans(self) -> str:
@@ -189,17 +193,17 @@
         if self.unwritten_bans and (reason := self._write_bans()):
             log.error("channels: cannot write the list of detached endpoints, will retry: %s", reason)
 
-    def log_of_channels(self) -> ChannelPart | None:
+    def channel_log(self) -> ChannelPart | None:
         """Return the channel log, or None if it is not configured."""
         return self.channels
 
-    def lameduck(self, on: bool) -> None:
+    def set_lame_duck(self, on: bool) -> None:
         """Begin or end lame duck: the health check fails, and connections close between requests."""
-        if on != self.lame:
+        if on != self.lame_duck:
             log.info("mgmt: lame duck %s", "on" if on else "off")
-        self.lame = on
+        self.lame_duck = on
         for front, _ in self.fronts:
-            front.lameduck(on)
+            front.set_lame_duck(on)
 
     def _read_bans(self) -> None:
         """Apply the bans from the file if the other process has changed it."""
@@ -216,7 +220,7 @@
         """Follow the other process's bans, and save the known outages."""
         while True:
             await pause(self.exchange.after, STATE_CHECK_INTERVAL_US)
-            self.outages.keep(self.exchange.outages(), self.clock.now_us())
+            self.outages.write_if_changed(self.exchange.outages(), self.clock.now_us())
             self._read_bans()
             if self.unwritten_bans and not self._write_bans():
                 log.info("mgmt: the list of detached endpoints has been written")
@@ -227,22 +231,22 @@
         Afterwards, also own those of any process that dies while running beside this one: nothing else would
         find them before a restart.
         """
-        while (recovered := self.journal.absorb()) is None:
+        while (recovered := self.journal.take_over()) is None:
             await pause(self.exchange.after, JOURNAL_RELEASE_CHECK_INTERVAL_US)
         self._own_recovered(recovered)
         while True:
             await pause(self.exchange.after, DEAD_PROCESS_CHECK_INTERVAL_US)
-            if self.journal.other_path.exists() and (recovered := self.journal.absorb()) is not None:
+            if self.journal.other_path.exists() and (recovered := self.journal.take_over()) is not None:
                 self._own_recovered(recovered)
 
     def _own_recovered(self, recovered: list[Message]) -> None:
         own_recovered(self.exchange, self.forms, recovered)
         if self.notices is not None:
-            for message_id in self.journal.absorbed:
+            for message_id in self.journal.ends_taken_over:
                 ended = self.journal.ends.get(message_id)
-                if ended is not None and ended.untold and ended.front == PLATFORM:
-                    self.notices.tell(message_id, ended.end)
-        self.journal.absorbed.clear()
+                if ended is not None and ended.notice_pending and ended.front == PLATFORM:
+                    self.notices.queue_notice(message_id, ended.end)
+        self.journal.ends_taken_over.clear()
         self.exchange.pump()
 
     async def start(self) -> None:
@@ -261,10 +265,10 @@
             self.consul = ConsulSource(self.exchange, consul.address, consul.services, consul.tag)
             self.consul.start()
         if self.config.instances:
-            self.exchange.list_instances(UpdateScope.FULL, self.config.instances, "file")
+            self.exchange.update_endpoints(UpdateScope.FULL, self.config.instances, "file")
         if self.watch is not None and self.config.platform is not None and self.config.platform.pushed:
             # Before anything is sent, because a pushed list counts as known from the start.
-            await self.watch.first()
+            await self.watch.wait_for_first_list()
         self.exchange.restore_outages(self.outages.read(self.clock.now_us(), self.config.settings.ramp_us))
         self.shutdown.mark_messages_owned()
         own_recovered(self.exchange, self.forms, outstanding)
@@ -307,19 +311,19 @@
         exchange = self.exchange
         self.fronts.append((PlatformClients(exchange, self._max_client_descriptors), platform.listen))
         self.watch = DiscoveryWatch(exchange, *platform.discovery, platform.seq, platform.pushed)
-        exchange.watch = self.watch.watch
-        notices = self.notices = Notices(*platform.discovery, exchange.after, self.journal.told)
+        exchange.request_list = self.watch.start
+        notices = self.notices = Notices(*platform.discovery, exchange.after, self.journal.confirm_notice)
         exchange.listeners[PLATFORM] = notices.ended
         exchange.round_over = notices.flush
-        for message_id, end in self.journal.untold(PLATFORM):
-            notices.tell(message_id, end)
-        exchange.list_instances(UpdateScope.FULL, platform.known)
+        for message_id, end in self.journal.unconfirmed_notices(PLATFORM):
+            notices.queue_notice(message_id, end)
+        exchange.update_endpoints(UpdateScope.FULL, platform.known)
         if platform.peers is not None:
             self._start_peers(platform.peers)
 
     def _start_peers(self, peers: PeersConfig) -> None:
         exchange = self.exchange
-        port = PeerPort(peers.listen, peers.peers, peers.all_at, exchange.heard, self.clock.now_us)
+        port = PeerPort(peers.listen, peers.peers, peers.all_at, exchange.receive_note, self.clock.now_us)
         try:
             port.open()
         except OSError as error:
@@ -328,7 +332,7 @@
                 "gossip is disabled: cannot listen on %s:%d: %s", *peers.listen, error.strerror or error
             )
             return
-        self.peers, exchange.broadcast_note = port, port.tell
+        self.peers, exchange.broadcast_note = port, port.send
 
     def _start_channels(self, channels: ChannelsConfig) -> None:
         from rowanrack.channels_io.part import ChannelPart  # loads sqlite3, msgspec and blake3 only if used
@@ -339,21 +343,21 @@
         self.channels = part
 
     def _start_recorder(self, record: RecordConfig) -> None:
-        from rowanrack.record.recorder import recorder  # loads msgspec and blake3 only if used
+        from rowanrack.record.recorder import create_recorder  # loads msgspec and blake3 only if used
 
-        self.recorder = recorder(self.config.name, self.exchange, record.folder, record.most_bytes)
+        self.recorder = create_recorder(self.config.name, self.exchange, record.folder, record.most_bytes)
         self.recorder.start()
 
     def _start_otlp(self, otlp: OtlpConfig) -> None:
         # Imported only if configured: the protobuf classes take memory, which the platform limits.
-        from rowanrack.fronts.otlp.calls import OtlpForm
+        from rowanrack.fronts.otlp.calls import OtlpCallProtocol
         from rowanrack.fronts.otlp.clients import OtlpClients
 
         server = OtlpClients(self.exchange, otlp.mapping, otlp.body_limit, self._max_client_descriptors)
         self.otlp = server
         self.fronts.append((server, otlp.listen))
         self.exchange.listeners[OTLP] = server.ended
-        self.forms[OTLP] = OtlpForm()
+        self.forms[OTLP] = OtlpCallProtocol()
 
     def request_reload(self, load: Callable[[], Config]) -> None:
         """Handle SIGHUP: reload now, also during shutdown, or once the start is complete."""
@@ -393,7 +397,7 @@
             self.otlp.mapping = new.otlp.mapping
             self.config = replace(self.config, otlp=replace(old.otlp, mapping=new.otlp.mapping))
         if old.instances != new.instances:
-            self.exchange.list_instances(UpdateScope.FULL, new.instances, "file")
+            self.exchange.update_endpoints(UpdateScope.FULL, new.instances, "file")
             self.config = replace(self.config, instances=new.instances)
         log.info("reload: the new configuration is in force")
 
@@ -427,7 +431,7 @@
             "stopping: %d messages owed, %d calls out%s",
             len(self.exchange.messages),
             len(self.pool.tasks),
-            "; the next process is already serving" if self.journal.shared() else "",
+            "; the next process is already serving" if self.journal.other_process_running() else "",
         )
         while wait_us := self.shutdown.advance():
             await pause(self.exchange.after, wait_us)
@@ -449,7 +453,7 @@
 
         Not with OTLP: its clients wait on their connections for the final answer.
         """
-        return self.config.otlp is None and self.journal.shared()
+        return self.config.otlp is None and self.journal.other_process_running()
 
     def drain(self) -> None:
         """Close the clients' ports, and each connection as soon as it is between requests."""
@@ -463,7 +467,7 @@
     def settled(self) -> bool:
         """Return whether no call can begin or is open, all notices are sent, and all clients have left."""
         outstanding = not self.exchange.frozen and bool(self.exchange.messages)
-        clients = any(not front.gone for front, _ in self.fronts)
+        clients = any(not front.has_ended for front, _ in self.fronts)
         return not (outstanding or self.pool.tasks or clients) and self._notices_sent()
 
     def _notices_sent(self) -> bool:
--- a/rowanrack/channels_io/links.py
+++ b/rowanrack/channels_io/links.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from rowanrack.channels.ports import Answered
-from rowanrack.net.http import FAILURES, Call, HttpCaller
+from rowanrack.net.http import CALL_ERRORS, Call, HttpClientConnection
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import After, time_limit
 
@@ -25,7 +25,7 @@
 
     def __init__(self, after: After, sites: Mapping[str, Address]) -> None:
         self._after, self._sites = after, dict(sites)
-        self._idle: dict[str, list[HttpCaller]] = {name: [] for name in sites}
+        self._idle: dict[str, list[HttpClientConnection]] = {name: [] for name in sites}
         self._out: dict[str, set[asyncio.Task[None]]] = {name: set() for name in sites}
 
     def call(self, site: str, body: bytes, timeout_us: int, done: Answered) -> Callable[[], None]:
@@ -58,26 +58,26 @@
         return lambda: void(task.cancel())
 
     async def _carry(self, site: str, body: bytes, timeout_us: int, end: Answered) -> None:
-        caller: HttpCaller | None = None
+        caller: HttpClientConnection | None = None
         try:
             async with time_limit(self._after, timeout_us):
                 caller = await self._caller(site, timeout_us)
                 reply = await caller.call(Call("POST", PATH, TYPE, body))
-        except FAILURES as error:
+        except CALL_ERRORS as error:
             late = isinstance(error, TimeoutError)
             end(None, 0, "no answer in time" if late else str(error) or type(error).__name__)
             return
         finally:
             if caller is not None and not (caller.reusable and self._keep(site, caller)):
                 caller.stream.abort()
-        if reply.status == 200 and reply.whole:
+        if reply.status == 200 and reply.complete:
             end(reply.body, 0, "")
         else:
             told = reply.headers.get(RETRY_AFTER, "")
             wait_us = int(told) * 1_000_000 if told.isdecimal() and len(told) < 6 else 0
             end(None, wait_us, f"answered {reply.status}" if reply.status != 200 else "a spoilt answer")
 
-    async def _caller(self, site: str, timeout_us: int) -> HttpCaller:
+    async def _caller(self, site: str, timeout_us: int) -> HttpClientConnection:
         idle = self._idle[site]
         while idle:
             if (caller := idle.pop()).reusable:
@@ -85,9 +85,9 @@
             caller.stream.abort()
         host, port = self._sites[site]
         stream = await Stream.connect(host, port)
-        return HttpCaller(stream, f"{host}:{port}", BODY_MOST, self._after, timeout_us)
+        return HttpClientConnection(stream, f"{host}:{port}", BODY_MOST, self._after, timeout_us)
 
-    def _keep(self, site: str, caller: HttpCaller) -> bool:
+    def _keep(self, site: str, caller: HttpClientConnection) -> bool:
         idle = self._idle[site]
         if len(idle) >= KEPT:
             return False
--- a/rowanrack/channels_io/part.py
+++ b/rowanrack/channels_io/part.py
@@ -27,7 +27,7 @@
 from rowanrack.config import ChannelsConfig
 from rowanrack.core.exchange import Exchange
 from rowanrack.net.http import Reply
-from rowanrack.net.rare_log import RareLog
+from rowanrack.net.rate_limited_log import RateLimitedLog
 from rowanrack.net.timing import after, pause
 from rowanrack.store.log_sqlite import SqliteLog
 
@@ -65,7 +65,7 @@
     ) -> None:
         self.config, self.name, self.exchange = config, name, exchange
         self._detached = detached  # told of every endpoint that the fleet knows of, and those detached now
-        self._rare = RareLog(log)
+        self._rare = RateLimitedLog(log)
         others = sorted(config.sites)
         store = SqliteLog(folder / FILE, config.disk_bytes)
         self.site = Site(store, exchange.clock, name, others, self._say, config.keep_us, config.disk_bytes)
@@ -100,7 +100,7 @@
 
     def close(self) -> None:
         """Note nothing more, and end what is under way."""
-        self.exchange.unobserve(self.watching)
+        self.exchange.remove_observer(self.watching)
         for task in self._tasks:
             task.cancel()
         self.links.close()
@@ -170,7 +170,7 @@
             payload["undoes"] = self.fleet.detaches.undoes(endpoint)
         self.notes.note(FLEET, DETACHED if banned else ATTACHED, packed(payload), self._unix())
 
-    async def announce(self, body: bytes) -> Reply:
+    async def announce_layout(self, body: bytes) -> Reply:
         """Announce a layout: `{"from": MICROSECONDS, "sites": {NAME: WEIGHT}, "shards": N, "keepers": N}`."""
         try:
             doc = json.loads(body)
@@ -323,7 +323,7 @@
 
     # Reads of the past.
 
-    async def past(self, target: str) -> Reply:
+    async def read(self, target: str) -> Reply:
         """The answer to `GET /_channels/NAME?at=...`."""
         try:
             query = parse(target)
--- a/rowanrack/channels_io/server.py
+++ b/rowanrack/channels_io/server.py
@@ -6,8 +6,8 @@
 
 from rowanrack.channels_io.links import BODY_MOST, PATH
 from rowanrack.core.exchange import Exchange
-from rowanrack.net.http import TOO_SLOW, HttpError, HttpServed, Reply
-from rowanrack.net.listener import Listener, State
+from rowanrack.net.http import REQUEST_TIMEOUT_RESPONSE, HttpError, HttpServerConnection, Reply
+from rowanrack.net.listener import ConnectionState, Listener
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import after
 
@@ -20,32 +20,32 @@
 class SitesServer(Listener):
     """Answers other sites; bad input ends only its own connection."""
 
-    too_slow = TOO_SLOW
-    owed_us = OWED_US
+    timeout_answer = REQUEST_TIMEOUT_RESPONSE
+    request_timeout_us = OWED_US
 
     def __init__(self, exchange: Exchange, most: int, answer: Answer) -> None:
         super().__init__(most, exchange)
         self.after, self._answer = after, answer
 
-    async def talk(self, stream: Stream) -> None:
+    async def serve_connection(self, stream: Stream) -> None:
         """Read a request, answer it, and the next one."""
-        served, more = HttpServed(stream, BODY_MOST), True
+        served, more = HttpServerConnection(stream, BODY_MOST), True
         while more:
             try:
-                request = await served.receive(lambda: self.mark(stream, State.OWING))
+                request = await served.receive(lambda: self.set_state(stream, ConnectionState.RECEIVING))
             except HttpError as bad:
                 wire = served.wire(Reply(bad.status, {"Connection": "close"}))
-                await self.farewell(stream, wire, str(bad))
+                await self.reject(stream, wire, str(bad))
                 return
             if request is None:
                 return
-            self.mark(stream, State.BUSY)
+            self.set_state(stream, ConnectionState.BUSY)
             if request.target != PATH or request.method != "POST":
                 reply = Reply(404 if request.target != PATH else 405, {"Connection": "close"})
             else:
                 reply = await self._reply(request.body)
             more = await served.answer(reply) and not self.draining
-            self.mark(stream, State.IDLE)
+            self.set_state(stream, ConnectionState.IDLE)
 
     async def _reply(self, body: bytes) -> Reply:
         try:
--- a/rowanrack/channels_io/watching.py
+++ b/rowanrack/channels_io/watching.py
@@ -5,7 +5,7 @@
 from typing import Any, Protocol
 
 from rowanrack.channels import events as kinds
-from rowanrack.core.exchange import MAYBE_RAN, Exchange
+from rowanrack.core.exchange import MAY_HAVE_RUN_RESULTS, Exchange
 from rowanrack.core.messages import Attempt, End, Ending, Endpoint, Message, Refusal
 from rowanspindle import EndpointStatus, Result
 
@@ -35,8 +35,8 @@
 
     def start(self) -> None:
         """Watch from now on; what is listed already is noted."""
-        self._exchange.observe(self)
-        self.listed(self._exchange.table.instances(), [])
+        self._exchange.add_observer(self)
+        self.list_changed(self._exchange.endpoint_list.endpoints(), [])
 
     def _note(self, dest: int, what: str, payload: dict[str, Any], message: Message | None = None) -> None:
         if message is not None and self._ids:
@@ -48,10 +48,10 @@
         payload = {"class": message.cls, "left_us": left_us, "tenant": message.tenant}
         self._note(message.dest, kinds.TAKEN, payload, message)
 
-    def turned_away(self, message: Message | None, refusal: Refusal) -> None:
+    def refused(self, message: Message | None, refusal: Refusal) -> None:
         """A message is not taken: it never was the channel's."""
 
-    def listed(self, news: list[Endpoint], gone: list[str]) -> None:
+    def list_changed(self, news: list[Endpoint], gone: list[str]) -> None:
         """News of instances."""
         for i in news:
             if self._given.get(i.name) != (i.dest, i.status):
@@ -73,7 +73,7 @@
         """A call has ended."""
         message, name = attempt.message, attempt.endpoint.name
         if attempt.begun and result is not Result.OK:
-            kind = kinds.MAY_HAVE_RUN if result in MAYBE_RAN else kinds.NEVER_RAN
+            kind = kinds.MAY_HAVE_RUN if result in MAY_HAVE_RUN_RESULTS else kinds.NEVER_RAN
             payload = {"endpoint": name, "leg": attempt.attempt_number, "result": result.value}
             self._note(message.dest, kind, payload, message)
         if wait_us:
--- a/rowanrack/config.py
+++ b/rowanrack/config.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from rowanrack.core.messages import HEADER_SAFE, Endpoint
-from rowanrack.fronts.otlp.mapping import RequestMap, Source
+from rowanrack.fronts.otlp.mapping import RequestMap, ValueSource
 from rowanrack.fronts.platform.discovery import ListError, parse_address, parse_list
 from rowanspindle import EndpointStatus, Settings
 from rowanspindle.gossip import notes_enabled
@@ -283,7 +283,9 @@
         return None
     mapped = otlp.map
     sources = (mapped.cls, mapped.tenant, mapped.destination, mapped.id, mapped.left_ms, mapped.key)
-    cls, tenant, dest, message_id, left_ms, key = (Source(s.header, s.attribute, s.default) for s in sources)
+    cls, tenant, dest, message_id, left_ms, key = (
+        ValueSource(s.header, s.attribute, s.default) for s in sources
+    )
     mapping = RequestMap(cls, tenant, dest, message_id, left_ms, key, otlp.destinations)
     return OtlpConfig(parse_address(otlp.listen), otlp.body_limit, mapping)
 
--- a/rowanrack/console/server.py
+++ b/rowanrack/console/server.py
@@ -11,7 +11,7 @@
 
 from rowanrack.console.snapshot import snapshot
 from rowanrack.core.exchange import Exchange
-from rowanrack.net.listener import Listener, State
+from rowanrack.net.listener import ConnectionState, Listener
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import pause
 
@@ -43,9 +43,9 @@
         finally:
             os.umask(previous_umask)
 
-    async def talk(self, stream: Stream) -> None:
+    async def serve_connection(self, stream: Stream) -> None:
         """Send snapshots until the viewer disconnects."""
-        self.mark(stream, State.BUSY)
+        self.set_state(stream, ConnectionState.BUSY)
         while True:
             await stream.send(json.dumps(snapshot(self.name, self.exchange)).encode() + b"\n")
             await pause(self.exchange.after, SNAPSHOT_INTERVAL_US)
--- a/rowanrack/console/snapshot.py
+++ b/rowanrack/console/snapshot.py
@@ -26,11 +26,11 @@
     return {
         "dest": dest,
         "held": len(destination.held),
-        "oldest_s": max(0, now_us - destination.held.since) / 1e6 if destination.held else 0.0,
+        "oldest_s": max(0, now_us - destination.held.oldest_accepted_at) / 1e6 if destination.held else 0.0,
         "wait_s": max(0, shared_limit.opens_at - now_us) / 1e6 if shared_limit is not None else 0.0,
         "window": shared_limit.window.size if shared_limit is not None else 0.0,
         "out": len(shared_limit.calls) if shared_limit is not None else 0,
-        "rate": shared_limit.weight if shared_limit is not None else 0.0,
+        "rate": shared_limit.rate if shared_limit is not None else 0.0,
         "pace": shared_limit.pace if shared_limit is not None else None,
         "instances": [
             {
@@ -38,7 +38,7 @@
                 "state": endpoint_state(endpoint, now_us),
                 "window": endpoint.window.size,
                 "out": len(endpoint.calls),
-                "usual_ms": endpoint.usual.mean / 1000,
+                "usual_ms": endpoint.answer_time.mean / 1000,
             }
             for endpoint in destination.endpoints.values()
         ],
--- a/rowanrack/consul.py
+++ b/rowanrack/consul.py
@@ -16,8 +16,8 @@
 
 from rowanrack.core.exchange import Exchange
 from rowanrack.core.messages import Endpoint
-from rowanrack.net.http import FAILURES, HttpLine
-from rowanrack.net.rare_log import RareLog
+from rowanrack.net.http import CALL_ERRORS, HttpClient
+from rowanrack.net.rate_limited_log import RateLimitedLog
 from rowanrack.net.timing import pause, time_limit
 from rowanspindle import EndpointStatus, UpdateScope
 
@@ -79,7 +79,7 @@
     )
 
 
-def parse_endpoints(document: Any, skip_warnings: RareLog | logging.Logger = log) -> list[Endpoint]:
+def parse_endpoints(document: Any, skip_warnings: RateLimitedLog | logging.Logger = log) -> list[Endpoint]:
     """Parse the answer to a health query. Malformed entries and those without metadata are skipped."""
     if not isinstance(document, list):
         raise ConsulError("not a list of endpoints")
@@ -103,7 +103,7 @@
         self._catalogue_task: asyncio.Task[None] | None = None
         self._configured_services = services
         # Rate-limited logs: of failed queries, and of entries that are left out.
-        self._query_warnings, self._skip_warnings = RareLog(log), RareLog(log)
+        self._query_warnings, self._skip_warnings = RateLimitedLog(log), RateLimitedLog(log)
 
     def start(self) -> None:
         """Start watching."""
@@ -128,7 +128,7 @@
     def _watch_services(self, services: set[str]) -> None:
         for name in sorted(self._tasks.keys() - services):
             self._tasks.pop(name).cancel()
-            self.exchange.list_instances(UpdateScope.FULL, (), f"consul {name}")
+            self.exchange.update_endpoints(UpdateScope.FULL, (), f"consul {name}")
         for name in sorted(services - self._tasks.keys()):
             path = f"/v1/health/service/{quote(name, safe='')}?"
             self._tasks[name] = asyncio.create_task(
@@ -137,7 +137,7 @@
 
     def _endpoint_handler(self, name: str) -> Callable[[Any], None]:
         def handle_answer(document: Any) -> None:
-            self.exchange.list_instances(
+            self.exchange.update_endpoints(
                 UpdateScope.FULL, parse_endpoints(document, self._skip_warnings), f"consul {name}"
             )
 
@@ -146,7 +146,7 @@
     async def _watch_path(self, path: str, subject: str, handle_answer: Callable[[Any], None]) -> None:
         """Make one blocking query after another; after a failure, start again from index 0 with back-off."""
         http, index, retry_delay_us = (
-            HttpLine(self.exchange.after, *self.address, MAX_LIST_BYTES),
+            HttpClient(self.exchange.after, *self.address, MAX_LIST_BYTES),
             0,
             MIN_RETRY_DELAY_US,
         )
@@ -157,7 +157,7 @@
                     index, document = await self._query(http, path, index)
                     if index:
                         handle_answer(document)
-                except (*FAILURES, ConsulError) as error:
+                except (*CALL_ERRORS, ConsulError) as error:
                     self._query_warnings.warning(
                         "consul: the query for %s failed: %s", subject, str(error) or type(error).__name__
                     )
@@ -179,7 +179,7 @@
         finally:
             http.close()
 
-    async def _query(self, http: HttpLine, path: str, index: int) -> tuple[int, Any]:
+    async def _query(self, http: HttpClient, path: str, index: int) -> tuple[int, Any]:
         # A query with index 0 does not block; Consul adds up to a sixteenth to the wait of others.
         wait_us = BLOCKING_WAIT_S * 1_000_000 * 17 // 16 if index else 0
         async with time_limit(self.exchange.after, wait_us + ANSWER_GRACE_US):
--- a/rowanrack/core/endpoint_list.py
+++ b/rowanrack/core/endpoint_list.py
@@ -121,12 +121,12 @@
         """Return an endpoint, or None if it is not listed."""
         return self._endpoints.get(name)
 
-    def listed(self, name: str) -> bool:
+    def accepts_calls(self, name: str) -> bool:
         """Return whether an endpoint accepts new calls: it is neither draining nor removed."""
         endpoint = self.get(name)
         return endpoint is not None and endpoint.status is EndpointStatus.LISTED
 
-    def instances(self) -> list[Endpoint]:
+    def endpoints(self) -> list[Endpoint]:
         """Return all endpoints in their current state."""
         return list(self._endpoints.values())
 
--- a/rowanrack/core/exchange.py
+++ b/rowanrack/core/exchange.py
@@ -61,7 +61,7 @@
 log = logging.getLogger(__name__)
 
 # Results after which the endpoint may have processed the message.
-MAYBE_RAN = frozenset({Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED})
+MAY_HAVE_RUN_RESULTS = frozenset({Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED})
 # The result of a call that was given up before it was sent, and so cannot have run.
 RESULT_IF_UNSENT = {Result.TIMEOUT: Result.CONNECT_FAILED, Result.CANCELLED: Result.MOOT}
 # Grace after a deadline before the exchange itself ends a message; the module has normally done so by then.
@@ -100,13 +100,13 @@
     written in order before any new message is accepted or attempt begun.
     """
 
-    def recording(self) -> bool:
+    def can_record(self) -> bool:
         """Return whether new messages can be recorded.
 
         If not, each call tries to recover, so call it from time to time.
         """
 
-    def behind(self) -> bool:
+    def has_unwritten_records(self) -> bool:
         """Return whether no attempt may begin because a `never_ran` or `end` record is unwritten.
 
         Each call retries the write.
@@ -150,10 +150,10 @@
     def taken(self, message: Message, left_us: int) -> None:
         """A message is owned: newly accepted, or recovered from the journal."""
 
-    def turned_away(self, message: Message | None, refusal: Refusal) -> None:
+    def refused(self, message: Message | None, refusal: Refusal) -> None:
         """A message was refused; `message` is None if the request was not read that far."""
 
-    def listed(self, news: list[Endpoint], gone: list[str]) -> None:
+    def list_changed(self, news: list[Endpoint], gone: list[str]) -> None:
         """The endpoint list changed: endpoints that were added or updated, and names of removed ones."""
 
     def began(self, attempt: Attempt) -> None:
@@ -173,20 +173,20 @@
         self.settings, self.clock, self.store = settings, clock, store
         self.forwarder = Forwarder(settings, seed)
         self.wheel = TimerWheel(tick_us, clock.now_us())
-        self.table = EndpointList()
+        self.endpoint_list = EndpointList()
         self.messages: dict[str, Message] = {}
         self.counts = dict.fromkeys(Ending, 0)
         self.endpoint_calls: EndpointCalls | None = None
         self.observers: tuple[Observer, ...] = ()
-        self.watch: Callable[[], None] = lambda: None
+        self.request_list: Callable[[], None] = lambda: None
         # Sends a gossip note to all other senders.
         self.broadcast_note: Callable[[Note], None] = lambda note: None
         # Called after each round: its final answers can be sent to clients now.
         self.round_over: Callable[[], None] = lambda: None
         self.load_shedder = LoadShedder(clock.now_us())
         self.listeners: dict[str, Callable[[Message, End], None]] = {}
-        self.figures = Metrics()
-        self.bans = self.table.bans  # detached endpoints get no new calls, whatever the sources list
+        self.metrics = Metrics()
+        self.bans = self.endpoint_list.bans  # detached endpoints get no new calls, whatever the sources list
         self._messages_by_ref: dict[int, Message] = {}
         self._next_ref = 0
         self._events: list[Event] = []
@@ -200,24 +200,24 @@
         self._batches: dict[str, list[Batch]] = {}
         self._store_check_scheduled = False  # whether a check of the store is scheduled
 
-    def observe(self, observer: Observer) -> None:
+    def add_observer(self, observer: Observer) -> None:
         """Add an observer."""
         self.observers += (observer,)
 
-    def unobserve(self, observer: Observer) -> None:
+    def remove_observer(self, observer: Observer) -> None:
         """Remove an observer."""
         self.observers = tuple(o for o in self.observers if o is not observer)
 
     # Interface to the front ends.
 
-    def too_busy(self, message_id: str) -> Refusal | None:
+    def refusal_if_overloaded(self, message_id: str) -> Refusal | None:
         """Return a refusal if the sender is overloaded. Called before a request is read any further.
 
         A message id that is owned or has a final answer is never refused here: the client gets that answer
         instead.
         """
         self.run_overdue_round()
-        if message_id and self.known(message_id) is not None:
+        if message_id and self.find_message(message_id) is not None:
             return None
         if not (retry_us := self.load_shedder.early_refusal_us()):
             return None
@@ -228,12 +228,12 @@
         self.run_overdue_round()
         if self.frozen or len(self.messages) >= self.settings.most_held:
             return self._refuse(message, Refusal(self._default_retry_us()))
-        if not self.table.knows_destination(message.dest, self.clock.now_us()):
+        if not self.endpoint_list.knows_destination(message.dest, self.clock.now_us()):
             # Messages for destinations that do not exist must not fill the hold. Such a destination cannot be
             # told from a real one that is not listed yet, so the client is asked to retry.
             return self._refuse(message, Refusal(self._default_retry_us()))
-        if not self.store.recording() or not self.store.take(message):
-            if self.store.recording():
+        if not self.store.can_record() or not self.store.take(message):
+            if self.store.can_record():
                 log.warning("no room in the journal, message %s is refused", message.id)
             else:
                 self._schedule_store_check()
@@ -256,7 +256,7 @@
         if not served or not self._repeat_is_defined(message):
             self._end_undeliverable(message)
             return
-        message.guard = self.after(left_us + DEADLINE_GRACE_US, lambda: self._end_overdue(message))
+        message.guard_timer = self.after(left_us + DEADLINE_GRACE_US, lambda: self._end_overdue(message))
         self._queue_event(
             Accept(
                 message.ref,
@@ -320,15 +320,15 @@
         keyed = cls is not None and cls.effect is Effect.KEYED and bool(message.unsettled)
         return keyed and cls is not None and self._first_attempt_age_us(message) >= cls.key_ttl_us
 
-    def known(self, message_id: str) -> Message | End | None:
+    def find_message(self, message_id: str) -> Message | End | None:
         """Return the message with this id while it is owned, then its final answer while retained."""
         return self.messages.get(message_id) or self.store.ended(message_id)
 
     def _refuse(self, message: Message | None, refusal: Refusal) -> Refusal:
         if message is not None:
-            self.figures.declined(message.cls)
+            self.metrics.declined(message.cls)
         for observer in self.observers:
-            observer.turned_away(message, refusal)
+            observer.refused(message, refusal)
         return refusal
 
     def _default_retry_us(self) -> int:
@@ -336,13 +336,13 @@
 
     # Interface to discovery and to the endpoint calls.
 
-    def list_instances(self, scope: UpdateScope, endpoints: Iterable[Endpoint], source: str = "") -> None:
+    def update_endpoints(self, scope: UpdateScope, endpoints: Iterable[Endpoint], source: str = "") -> None:
         """Apply an update of the endpoint list from one source. A detached endpoint is listed as draining."""
-        self._apply_list_change(self.table.update(scope, endpoints, source, self.clock.now_us()))
+        self._apply_list_change(self.endpoint_list.update(scope, endpoints, source, self.clock.now_us()))
 
     def detach(self, name: str) -> bool:
         """Send nothing new to an endpoint until it is attached; return False if no source lists it."""
-        if self.table.as_listed(name) is None and name not in self.bans:
+        if self.endpoint_list.as_listed(name) is None and name not in self.bans:
             return False
         self.ban(name)
         return True
@@ -361,23 +361,23 @@
         if name in self.bans:
             return
         self.bans.add(name)
-        if (listed := self.table.as_listed(name)) is not None:
-            self._apply_list_change(self.table.set_state([listed], self.clock.now_us()))
+        if (listed := self.endpoint_list.as_listed(name)) is not None:
+            self._apply_list_change(self.endpoint_list.set_state([listed], self.clock.now_us()))
 
     def attach(self, name: str) -> bool:
         """Lift a ban; the endpoint returns cold, like a new one. Return False if it was not detached."""
         if name not in self.bans:
             return False
         self.bans.discard(name)
-        if (listed := self.table.as_listed(name)) is not None:
+        if (listed := self.endpoint_list.as_listed(name)) is not None:
             for endpoint in (replace(listed, status=EndpointStatus.REMOVED), listed):
-                self._apply_list_change(self.table.set_state([endpoint], self.clock.now_us()))
+                self._apply_list_change(self.endpoint_list.set_state([endpoint], self.clock.now_us()))
         return True
 
     @property
     def ejected(self) -> int:
         """Number of listed endpoints that are detached, or taken out by the decision module."""
-        listed = self.table.names()
+        listed = self.endpoint_list.names()
         endpoints = self.forwarder.endpoints.items()
         out = {name for name, e in endpoints if e.out_since is not None and name in listed}
         return len(out | (self.bans & listed))
@@ -385,7 +385,7 @@
     def _apply_list_change(self, change: EndpointListChange) -> None:
         present = [i for i in change.changed if i.status is not EndpointStatus.REMOVED]
         for observer in self.observers:
-            observer.listed(present, list(change.removed))
+            observer.list_changed(present, list(change.removed))
         self._queue_event(change.update)
         for name in change.closed_to_calls:
             for attempt in list(self._unstarted_attempts.get(name, ())):
@@ -410,7 +410,11 @@
         # The call was decided on earlier and has waited for a connection. In the meantime the destination may
         # have asked for a wait, or the endpoint may have been drained or removed.
         waiting = (self._retry_after_waits.get(self._wait_scope(attempt)) or 0) > self.clock.now_us()
-        not_allowed = waiting or not self._is_owned(message) or not self.table.listed(attempt.endpoint.name)
+        not_allowed = (
+            waiting
+            or not self._is_owned(message)
+            or not self.endpoint_list.accepts_calls(attempt.endpoint.name)
+        )
         # The key may also have expired while a repeated call waited for a connection.
         not_allowed = not_allowed or self._key_expired(message)
         # The store records the call first: after a restart, an unrecorded call could take effect a second
@@ -425,7 +429,7 @@
         if key_expired_meanwhile:
             self.settle(attempt, Result.MOOT)
             return False
-        self.figures.forwarded(message.cls)
+        self.metrics.forwarded(message.cls)
         self._remove_unstarted(attempt)
         for observer in self.observers:
             observer.began(attempt)
@@ -447,14 +451,14 @@
         message, now = attempt.message, self.clock.now_us()
         for observer in self.observers:
             observer.settled(attempt, result, wait_us)
-        message.out.pop(attempt.attempt_number, None)
+        message.attempts_out.pop(attempt.attempt_number, None)
         self._remove_unstarted(attempt)
         self._release_ref(message)
         if wait_us:
             scope = self._wait_scope(attempt)
             self._retry_after_waits.set(scope, max(now + wait_us, self._retry_after_waits.get(scope) or 0))
         is_owned = self._is_owned(message)
-        if attempt.begun and result not in MAYBE_RAN and result is not Result.OK:
+        if attempt.begun and result not in MAY_HAVE_RUN_RESULTS and result is not Result.OK:
             message.unsettled.pop(attempt.attempt_number, None)
             if is_owned:
                 self.store.never_ran(message, attempt.attempt_number)
@@ -474,7 +478,7 @@
                 latency_us,
                 message_ended,
                 wait_us,
-                verdict.left,
+                verdict.remaining_share,
                 verdict.limit,
             )
         )
@@ -497,7 +501,7 @@
 
     # Interface to the other senders.
 
-    def heard(self, peer: int, note: Note) -> None:
+    def receive_note(self, peer: int, note: Note) -> None:
         """Receive a gossip note from another sender.
 
         Notes tend to arrive together, so the round waits a little in order to handle several.
@@ -556,7 +560,7 @@
             self._decide(now, EventFeed(batch))
             self._start_batches()
         self.round_over()
-        if not self.store.recording():
+        if not self.store.can_record():
             self._schedule_store_check()
         due = self.wheel.next_at()
         if due is not None:
@@ -604,12 +608,15 @@
             case Send():
                 self._send(action, now)
             case Refuse():
-                self._end_by_ref(action.ref, End(Ending.REFUSED, action.come_back_us))
+                self._end_by_ref(action.ref, End(Ending.REFUSED, action.retry_after_us))
             case Fail():
                 self._end_by_ref(action.ref, End(Ending.FAILED))
             case Cancel():
                 message = self._messages_by_ref.get(action.ref)
-                if message is not None and (attempt := message.out.get(action.attempt_number)) is not None:
+                if (
+                    message is not None
+                    and (attempt := message.attempts_out.get(action.attempt_number)) is not None
+                ):
                     self._stop_waiting(attempt, Result.CANCELLED)
             case Disconnect():
                 if self.endpoint_calls is not None:
@@ -618,7 +625,7 @@
                 token = action.token
                 self.wheel.at(now + action.after_us, lambda: self._events.append(TimerFired(token)))
             case WatchEndpointList():
-                self.watch()
+                self.request_list()
             case BroadcastNote():
                 self.broadcast_note(action.note)
             case LogLine():
@@ -626,7 +633,7 @@
 
     def _send(self, action: Send, now: int) -> None:
         message = self._messages_by_ref.get(action.ref)
-        endpoint = self.table.get(action.target)
+        endpoint = self.endpoint_list.get(action.target)
         if message is None or not self._is_owned(message):
             log.error("decision module tried to send message %d, which has already ended", action.ref)
             return
@@ -636,7 +643,7 @@
             self._queue_event(Outcome(action.ref, attempt_number, action.target, Result.MOOT, 0, False))
             return
         batch = self._batch_for(message, endpoint)
-        attempt = message.out[attempt_number] = Attempt(
+        attempt = message.attempts_out[attempt_number] = Attempt(
             message, attempt_number, endpoint, now, action.timeout_us, batch
         )
         batch.attempts.append(attempt)
@@ -657,7 +664,7 @@
         """Start the calls that the round has gathered."""
         gathered, self._batches = self._batches, {}
         ready = [b for batches in gathered.values() for b in batches]
-        if ready and self.store.behind():
+        if ready and self.store.has_unwritten_records():
             for attempt in [e for b in ready for e in b.waiting()]:
                 self.settle(attempt, NOT_RECORDED_VERDICT)
         for batch in ready:
@@ -672,7 +679,7 @@
 
     def _check_store(self) -> None:
         self._store_check_scheduled = False
-        if not self.store.recording():
+        if not self.store.can_record():
             self._schedule_store_check()
 
     def _stop_waiting(self, attempt: Attempt, result: Result) -> None:
@@ -682,7 +689,7 @@
         message may have no other attempt under way. The message itself can end before that.
         """
         if attempt.begun:
-            attempt.given_up = result
+            attempt.abandoned_as = result
         else:
             self.settle(attempt, RESULT_IF_UNSENT.get(result, result))
         self._close_if_unwanted(attempt.batch)
@@ -695,7 +702,7 @@
         answer never completes.
         """
         unsettled = [e for e in batch.attempts if not e.settled]
-        if self.endpoint_calls is None or any(e.given_up is None for e in unsettled):
+        if self.endpoint_calls is None or any(e.abandoned_as is None for e in unsettled):
             return
         progress = self.endpoint_calls.progress(batch) if unsettled else Progress.SENT
         if progress is Progress.ENDING and remaining_checks:
@@ -703,7 +710,7 @@
             return
         self.endpoint_calls.abandon(batch)
         for attempt in unsettled:
-            result = attempt.given_up or Result.CANCELLED
+            result = attempt.abandoned_as or Result.CANCELLED
             self.settle(
                 attempt, RESULT_IF_UNSENT.get(result, result) if progress is Progress.UNSENT else result
             )
@@ -718,7 +725,7 @@
 
     def _release_ref(self, message: Message) -> None:
         """Drop the reference number of an ended message that has no attempt left to cancel."""
-        if not self._is_owned(message) and not message.out:
+        if not self._is_owned(message) and not message.attempts_out:
             self._messages_by_ref.pop(message.ref, None)
 
     def _end_overdue(self, message: Message) -> None:
@@ -733,10 +740,10 @@
         """End a message. This is the only place where that happens."""
         del self.messages[message.id]
         self._release_ref(message)
-        if message.guard is not None:
-            message.guard.cancel()
+        if message.guard_timer is not None:
+            message.guard_timer.cancel()
         self.counts[end.ending] += 1
-        self.figures.ended(message.cls, end.ending)
+        self.metrics.ended(message.cls, end.ending)
         self.store.end(message, end)
         for observer in self.observers:
             observer.ended(message, end)
--- a/rowanrack/core/messages.py
+++ b/rowanrack/core/messages.py
@@ -13,12 +13,12 @@
 
 
 class Ending(Enum):
-    """How a message ended. OVER: the client has withdrawn it and expects no answer."""
+    """How a message ended. WITHDRAWN: the client has withdrawn it and expects no answer."""
 
     DELIVERED = "delivered"
     REFUSED = "refused"
     FAILED = "failed"
-    OVER = "over"
+    WITHDRAWN = "over"
 
 
 class Progress(Enum):
@@ -49,14 +49,14 @@
 class CallVerdict:
     """The consequence of a call's end for an attempt; with `end`, its message ends whatever the result.
 
-    `left` and `limit` come from the endpoint's load report: the remaining share of its limit, and the limit
-    in calls per second.
+    `remaining_share` and `limit` come from the endpoint's load report: the remaining share of its limit, and
+    the limit in calls per second.
     """
 
     result: Result
     wait_us: int = 0
     end: Ending | None = None
-    left: float | None = None
+    remaining_share: float | None = None
     limit: float | None = None
 
 
@@ -95,8 +95,8 @@
     # Attempts that began and may have run, with their start in Unix time (0 if unknown).
     unsettled: dict[int, int] = field(default_factory=dict)
     ref: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
-    guard: WheelTimer | None = None
+    attempts_out: dict[int, Attempt] = field(default_factory=dict)
+    guard_timer: WheelTimer | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -113,7 +113,7 @@
     begun: bool = False
     settled: bool = False
     # The result if the shared call, which goes on for other attempts, reports none.
-    given_up: Result | None = None
+    abandoned_as: Result | None = None
 
 
 @dataclass(slots=True, eq=False)
--- a/rowanrack/core/metrics.py
+++ b/rowanrack/core/metrics.py
@@ -11,7 +11,7 @@
     Ending.DELIVERED: "succeeded",
     Ending.REFUSED: "declined",
     Ending.FAILED: "aborted",
-    Ending.OVER: "aborted",
+    Ending.WITHDRAWN: "aborted",
 }
 
 
--- a/rowanrack/fronts/mgmt/calls.py
+++ b/rowanrack/fronts/mgmt/calls.py
@@ -13,39 +13,39 @@
 MAX_NAME_LENGTH = 256  # in characters
 
 
-class NotKeptError(Exception):
+class NotWrittenError(Exception):
     """Raised when a change is in effect but not persisted, so that it is lost if the process ends now."""
 
 
 class ChannelLog(Protocol):
     """The log of channels, which exists if the site file has a [channels] section."""
 
-    async def past(self, target: str) -> Reply:
+    async def read(self, target: str) -> Reply:
         """Answer a read of a channel."""
 
-    async def announce(self, body: bytes) -> Reply:
+    async def announce_layout(self, body: bytes) -> Reply:
         """Announce a layout and return the answer."""
 
 
 class Operations(Protocol):
     """The operations of the sender that operators' calls use."""
 
-    def log_of_channels(self) -> ChannelLog | None:
+    def channel_log(self) -> ChannelLog | None:
         """Return the log of channels, or None if there is none."""
 
-    def unready(self) -> str:
+    def unready_reason(self) -> str:
         """Return in one line why this process is not ready; empty if it is ready."""
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Return the metrics in the Prometheus text exposition format."""
 
     def detach(self, name: str) -> bool:
-        """Stop sending to an endpoint; False if it is unknown. Raises NotKeptError."""
+        """Stop sending to an endpoint; False if it is unknown. Raises NotWrittenError."""
 
     def attach(self, name: str) -> bool:
-        """Resume sending to an endpoint; False if it was not detached. Raises NotKeptError."""
+        """Resume sending to an endpoint; False if it was not detached. Raises NotWrittenError."""
 
-    def lameduck(self, on: bool) -> None:
+    def set_lame_duck(self, on: bool) -> None:
         """Enter or leave lame duck, in which clients are drained."""
 
 
@@ -71,12 +71,12 @@
     path = request.target.partition("?")[0]
     if path != LAYOUT_PATH and not path.startswith(CHANNELS_PATH):
         return answer_locally(request, operations)
-    if (channel_log := operations.log_of_channels()) is None:
+    if (channel_log := operations.channel_log()) is None:
         return text_reply(404, "this sender keeps no channels: its file has no [channels]")
     if request.method != (allowed_method := "POST" if path == LAYOUT_PATH else "GET"):
         return text_reply(405, f"{path[:64]} takes {allowed_method}")
     return await (
-        channel_log.announce(request.body) if path == LAYOUT_PATH else channel_log.past(request.target)
+        channel_log.announce_layout(request.body) if path == LAYOUT_PATH else channel_log.read(request.target)
     )
 
 
@@ -92,13 +92,13 @@
         case "/_ready":
             return (
                 text_reply(503, f"not ready: {reason}")
-                if (reason := operations.unready())
+                if (reason := operations.unready_reason())
                 else text_reply(200, "ready")
             )
         case "/_vars":
-            return Reply(200, METRICS_HEADERS, operations.figures().encode())
+            return Reply(200, METRICS_HEADERS, operations.metrics_text().encode())
         case "/_lameduck/on" | "/_lameduck/off":
-            operations.lameduck(path.endswith("/on"))
+            operations.set_lame_duck(path.endswith("/on"))
             return text_reply(200, "lame duck " + path.rpartition("/")[2])
     try:
         name = parse_endpoint_name(request.body)
@@ -111,7 +111,7 @@
     )
     try:
         return text_reply(200, f"{done_word} {name}") if change(name) else text_reply(404, not_found_text)
-    except NotKeptError as error:
+    except NotWrittenError as error:
         return text_reply(507, f"{done_word} {name} until this process ends, not written yet: {error}")
 
 
--- a/rowanrack/fronts/mgmt/server.py
+++ b/rowanrack/fronts/mgmt/server.py
@@ -4,8 +4,8 @@
 
 from rowanrack.core.exchange import Exchange
 from rowanrack.fronts.mgmt.calls import Operations, answer_with_channels, text_reply
-from rowanrack.net.http import TOO_SLOW, HttpError, HttpServed
-from rowanrack.net.listener import Listener, State
+from rowanrack.net.http import REQUEST_TIMEOUT_RESPONSE, HttpError, HttpServerConnection
+from rowanrack.net.listener import ConnectionState, Listener
 from rowanrack.net.stream import Stream
 
 MAX_CONNECTIONS = 64  # connections of operators; when it is reached, silent ones are closed for new ones
@@ -16,25 +16,25 @@
 class ManagementServer(Listener):
     """Answers operators' calls. Invalid or late input gets a 4xx and closes only its own connection."""
 
-    too_slow = TOO_SLOW
-    owed_us = REQUEST_TIMEOUT_US
-    spared_us = 100_000
+    timeout_answer = REQUEST_TIMEOUT_RESPONSE
+    request_timeout_us = REQUEST_TIMEOUT_US
+    request_eviction_age_us = 100_000
 
     def __init__(self, exchange: Exchange, operations: Operations) -> None:
         super().__init__(MAX_CONNECTIONS, exchange)
         self.operations = operations
 
-    async def talk(self, stream: Stream) -> None:
+    async def serve_connection(self, stream: Stream) -> None:
         """Answer one call, then close the connection."""
-        http = HttpServed(stream, MAX_BODY_BYTES)
+        http = HttpServerConnection(stream, MAX_BODY_BYTES)
         try:
-            request = await http.receive(lambda: self.mark(stream, State.OWING))
+            request = await http.receive(lambda: self.set_state(stream, ConnectionState.RECEIVING))
         except HttpError as error:
-            await self.farewell(stream, http.wire(text_reply(error.status, str(error))), str(error))
+            await self.reject(stream, http.wire(text_reply(error.status, str(error))), str(error))
             return
         if request is None:
             return
-        self.mark(stream, State.BUSY)
+        self.set_state(stream, ConnectionState.BUSY)
         await http.answer(await answer_with_channels(request, self.operations))
         # The connection now belongs to a known caller and is not throttled under load.
-        self.mark(stream, State.IDLE)
+        self.set_state(stream, ConnectionState.IDLE)
--- a/rowanrack/fronts/otlp/__init__.py
+++ b/rowanrack/fronts/otlp/__init__.py
@@ -1,6 +1,6 @@
 """The OTLP front: accepts export requests from clients and makes calls to OTLP servers."""
 
-FRONT = "otlp"
+FRONT_NAME = "otlp"
 
 
 class OtlpError(Exception):
--- a/rowanrack/fronts/otlp/calls.py
+++ b/rowanrack/fronts/otlp/calls.py
@@ -32,10 +32,10 @@
     return int(max(0.0, min(seconds, MAX_RETRY_AFTER_S)) * 1_000_000)
 
 
-class OtlpForm:
+class OtlpCallProtocol:
     """Builds OTLP/HTTP calls, which carry the export request as received but uncompressed."""
 
-    def part(self, waiting: Sequence[Attempt]) -> int:
+    def batch_size(self, waiting: Sequence[Attempt]) -> int:
         """Return how many attempts go in the next call: one, since an export request is one message."""
         return min(1, len(waiting))
 
--- a/rowanrack/fronts/otlp/clients.py
+++ b/rowanrack/fronts/otlp/clients.py
@@ -21,8 +21,8 @@
     serialize_message,
     serialize_status,
 )
-from rowanrack.net.http import TOO_SLOW, HttpError, HttpServed, Reply, Request
-from rowanrack.net.listener import Listener, State
+from rowanrack.net.http import REQUEST_TIMEOUT_RESPONSE, HttpError, HttpServerConnection, Reply, Request
+from rowanrack.net.listener import ConnectionState, Listener
 from rowanrack.net.stream import Stream
 
 REQUEST_TIMEOUT_US = 10_000_000  # for receiving one request, which may be much larger than the platform's
@@ -33,9 +33,9 @@
 class OtlpClients(Listener):
     """Accepts connections of OTLP clients and answers their export requests."""
 
-    owed_us, spared_us = REQUEST_TIMEOUT_US, MIN_REQUEST_AGE_BEFORE_EVICTION_US
-    shared = True
-    too_slow = TOO_SLOW
+    request_timeout_us, request_eviction_age_us = REQUEST_TIMEOUT_US, MIN_REQUEST_AGE_BEFORE_EVICTION_US
+    reuse_port = True
+    timeout_answer = REQUEST_TIMEOUT_RESPONSE
 
     def __init__(
         self, exchange: Exchange, mapping: RequestMap, body_limit: int, max_connections: int
@@ -50,25 +50,25 @@
             if not waiter.done():
                 waiter.set_result(end)
 
-    async def talk(self, stream: Stream) -> None:
+    async def serve_connection(self, stream: Stream) -> None:
         """Answer the requests of one connection in turn; input that is not HTTP closes it."""
-        http, keep_alive = HttpServed(stream, self.body_limit_bytes), True
+        http, keep_alive = HttpServerConnection(stream, self.body_limit_bytes), True
         while keep_alive:
             try:
-                request = await http.receive(lambda: self.mark(stream, State.OWING))
+                request = await http.receive(lambda: self.set_state(stream, ConnectionState.RECEIVING))
             except HttpError as error:
                 final_answer = http.wire(error_reply(error.status, str(error), PROTOBUF, close=True))
-                await self.farewell(stream, final_answer, str(error))
+                await self.reject(stream, final_answer, str(error))
                 return
             if request is None or stream.closing:
                 return
-            self.mark(stream, State.BUSY)
+            self.set_state(stream, ConnectionState.BUSY)
             keep_alive = await http.answer(await self._answer(request))
-            self.mark(stream, State.IDLE)
+            self.set_state(stream, ConnectionState.IDLE)
             if http.pending:
                 # Input that is already read, perhaps a whole request, must not be lost by closing.
-                self.mark(stream, State.OWING)
-            elif self.may_leave(stream):
+                self.set_state(stream, ConnectionState.RECEIVING)
+            elif self.may_close(stream):
                 return
             await asyncio.sleep(0)  # lets other connections run when this one always has input
 
@@ -83,7 +83,7 @@
             content_type = media_type(request.headers.get("content-type", ""))
             # Checked before the body is parsed, which is the most expensive step. A retry of the request has
             # the same id, whether given or derived from the body, so refusing it now is safe.
-            if (overload := self.exchange.too_busy("")) is not None:
+            if (overload := self.exchange.refusal_if_overloaded("")) is not None:
                 return retry_later_reply(overload.retry_us, content_type)
             message = self._parse_message(signal, content_type, request)
         except OtlpError as error:
@@ -106,7 +106,7 @@
             request.body, request.headers.get("content-encoding", ""), self.body_limit_bytes
         )
         export = parse_message(signal.request(), body, content_type)
-        return self.mapping.message(
+        return self.mapping.build_message(
             self.exchange.settings,
             request.headers,
             resource_attributes(signal, export),
@@ -121,7 +121,7 @@
         A message that has ended is answered from the stored end; requests with the same message id wait for
         the same end.
         """
-        known = self.exchange.known(message.id)
+        known = self.exchange.find_message(message.id)
         if isinstance(known, End):
             return known
         if known is None and (refusal := self.exchange.submit(message)) is not None:
--- a/rowanrack/fronts/otlp/mapping.py
+++ b/rowanrack/fronts/otlp/mapping.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, field
 
 from rowanrack.core.messages import HEADER_SAFE, Message
-from rowanrack.fronts.otlp import FRONT, OtlpError
+from rowanrack.fronts.otlp import FRONT_NAME, OtlpError
 from rowanspindle import Effect, Settings
 
 MAX_ID_LENGTH = 256
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class ValueSource:
     """Where a value is looked up: a request header, then a resource attribute, then a default."""
 
     header: str = ""
@@ -38,15 +38,15 @@
 class RequestMap:
     """The configured lookup of each message field."""
 
-    cls: Source
-    tenant: Source
-    destination: Source
-    id: Source = field(default_factory=Source)
-    left_ms: Source = field(default_factory=Source)
-    key: Source = field(default_factory=Source)
+    cls: ValueSource
+    tenant: ValueSource
+    destination: ValueSource
+    id: ValueSource = field(default_factory=ValueSource)
+    left_ms: ValueSource = field(default_factory=ValueSource)
+    key: ValueSource = field(default_factory=ValueSource)
     destinations: Mapping[str, int] = field(default_factory=dict)
 
-    def message(
+    def build_message(
         self,
         settings: Settings,
         headers: Mapping[str, str],
@@ -87,7 +87,7 @@
             key = message_id if HEADER_SAFE.fullmatch(message_id) else derive_id(tenant, message_id.encode())
         if key and not HEADER_SAFE.fullmatch(key):
             raise OtlpError(400, "bad key")
-        return Message(message_id, cls, tenant, dest, now_unix_us + left_us, body, FRONT, form, key)
+        return Message(message_id, cls, tenant, dest, now_unix_us + left_us, body, FRONT_NAME, form, key)
 
 
 NO_DEADLINE_US = 1 << 62
--- a/rowanrack/fronts/platform/__init__.py
+++ b/rowanrack/fronts/platform/__init__.py
@@ -1,3 +1,3 @@
 """The platform front: RESP2 for clients, HTTP calls to endpoints, notices, and the discovery watch."""
 
-FRONT = "platform"
+FRONT_NAME = "platform"
--- a/rowanrack/fronts/platform/clients.py
+++ b/rowanrack/fronts/platform/clients.py
@@ -7,9 +7,9 @@
 
 from rowanrack.core.exchange import Exchange
 from rowanrack.core.messages import HEADER_SAFE, Message
-from rowanrack.fronts.platform import FRONT
+from rowanrack.fronts.platform import FRONT_NAME
 from rowanrack.fronts.platform.resp import RespError, error_line, parse_command, simple_string
-from rowanrack.net.listener import Listener, State
+from rowanrack.net.listener import ConnectionState, Listener
 from rowanrack.net.stream import Stream
 from rowanspindle import Effect, Settings
 
@@ -46,7 +46,9 @@
     if not key and settings.classes[cls].effect is Effect.KEYED:
         # Without a key the destination cannot drop duplicates, so no attempt after the first would be safe.
         raise RespError(f"ERR the list lacks k: class {cls} is keyed")
-    return Message(message_id, cls, tenant, dest, now_unix_us + left_ms * 1000, arguments[4], FRONT, key=key)
+    return Message(
+        message_id, cls, tenant, dest, now_unix_us + left_ms * 1000, arguments[4], FRONT_NAME, key=key
+    )
 
 
 def message_class_of(field_list: bytes) -> str:
@@ -60,24 +62,24 @@
 class PlatformClients(Listener):
     """Accepts connections of clients and answers their commands."""
 
-    too_slow = error_line("ERR Protocol error: the command does not come whole in time")
-    shared = True
+    timeout_answer = error_line("ERR Protocol error: the command does not come whole in time")
+    reuse_port = True
 
     def __init__(self, exchange: Exchange, max_connections: int) -> None:
         super().__init__(max_connections, exchange)
 
-    async def talk(self, stream: Stream) -> None:
+    async def serve_connection(self, stream: Stream) -> None:
         """Answer the commands of one connection in turn; input that is not a command closes it."""
         while True:
             try:
-                arguments = parse_command(stream.inward)
+                arguments = parse_command(stream.receive_buffer)
             except RespError as error:
-                await self.farewell(stream, error_line(f"ERR {error}"), str(error))
+                await self.reject(stream, error_line(f"ERR {error}"), str(error))
                 return
             if arguments is None:
-                if len(stream.inward):
-                    self.mark(stream, State.OWING)
-                elif self.may_leave(stream):
+                if len(stream.receive_buffer):
+                    self.set_state(stream, ConnectionState.RECEIVING)
+                elif self.may_close(stream):
                     return
                 if not await stream.fill():
                     return
@@ -86,17 +88,17 @@
                 # Accepting the message now could duplicate it: a client whose connection was closed before
                 # its request was read submits the message to another sender.
                 return
-            self.mark(stream, State.BUSY)
+            self.set_state(stream, ConnectionState.BUSY)
             try:
                 answer = self._answer(arguments)
             except RespError as error:
-                await self.farewell(stream, error_line(str(error)), str(error))
+                await self.reject(stream, error_line(str(error)), str(error))
                 return
             await stream.send(answer)
-            self.mark(stream, State.IDLE)
-            if len(stream.inward):
+            self.set_state(stream, ConnectionState.IDLE)
+            if len(stream.receive_buffer):
                 # Input that is already read, perhaps a whole request, must not be lost by closing.
-                self.mark(stream, State.BUSY)
+                self.set_state(stream, ConnectionState.BUSY)
                 await asyncio.sleep(0)  # lets other connections run when this one always has input
 
     def _answer(self, arguments: list[bytes]) -> bytes:
@@ -104,19 +106,19 @@
         if name == b"PING":
             return (
                 error_line("ERR lame duck: this sender takes no new clients")
-                if self.lame
+                if self.lame_duck
                 else simple_string("PONG")
             )
         if name != b"SUBMIT":
             raise RespError(f"ERR unknown command {arguments[0][:32].decode('ascii', 'replace')!r}")
         if (
             len(arguments) == 5
-            and (overload := self.exchange.too_busy(arguments[2].decode("latin-1"))) is not None
+            and (overload := self.exchange.refusal_if_overloaded(arguments[2].decode("latin-1"))) is not None
         ):
-            self.exchange.figures.declined(message_class_of(arguments[3]))
+            self.exchange.metrics.declined(message_class_of(arguments[3]))
             return error_line(f"BUSY {overload.retry_us // 1000}")
         message = read_submit(arguments, self.exchange.settings, self.exchange.clock.unix_us())
-        if self.exchange.known(message.id) is not None:
+        if self.exchange.find_message(message.id) is not None:
             return simple_string("OK")  # a duplicate of a message that is already accepted and has one end
         refusal = self.exchange.submit(message)
         return simple_string("OK") if refusal is None else error_line(f"BUSY {refusal.retry_us // 1000}")
--- a/rowanrack/fronts/platform/discovery.py
+++ b/rowanrack/fronts/platform/discovery.py
@@ -11,8 +11,8 @@
 
 from rowanrack.core.exchange import Exchange
 from rowanrack.core.messages import Endpoint
-from rowanrack.net.http import FAILURES, BadReplyError, HttpLine
-from rowanrack.net.rare_log import RareLog
+from rowanrack.net.http import CALL_ERRORS, BadReplyError, HttpClient
+from rowanrack.net.rate_limited_log import RateLimitedLog
 from rowanrack.net.timing import pause, time_limit
 from rowanspindle import EndpointStatus, UpdateScope
 
@@ -115,29 +115,29 @@
 
     It gives up after a 503 or two failures in a row. A change counts as known to the sender once discovery
     has written it, even if it was not received, so the next call follows any other failure at once. Where
-    lists are pushed, a process gets the current list before it serves (`first`).
+    lists are pushed, a process gets the current list before it serves (`wait_for_first_list`).
     """
 
     def __init__(self, exchange: Exchange, host: str, port: int, seq: int, pushed: bool = False) -> None:
         self.exchange, self.seq, self._pushed = exchange, seq, pushed
-        self._http = HttpLine(exchange.after, host, port, MAX_LIST_BYTES)
+        self._http = HttpClient(exchange.after, host, port, MAX_LIST_BYTES)
         self._task: asyncio.Task[None] | None = None
         self._moved_at_us: int | None = None
         self._next_may_fail = False  # whether the next call may fail, too, and gets a shorter wait
         # Whether the last answer may be stale or corrupted, so that the full list is requested.
         self._needs_full_list = False
         self._first_call_done = asyncio.Event()
-        self._limited_warnings = RareLog(log)
+        self._limited_warnings = RateLimitedLog(log)
         self.failures_since_move = 0
 
-    def watch(self) -> None:
+    def start(self) -> None:
         """Start the watch unless it runs. Called when the decision module requests the list."""
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._follow())
 
-    async def first(self) -> None:
+    async def wait_for_first_list(self) -> None:
         """Start the watch and wait for the first list or a failure, for FIRST_LIST_TIMEOUT_US at most."""
-        self.watch()
+        self.start()
         with suppress(TimeoutError):
             async with time_limit(self.exchange.after, FIRST_LIST_TIMEOUT_US):
                 await self._first_call_done.wait()
@@ -145,7 +145,7 @@
     def move(self, host: str, port: int) -> None:
         """Switch to another address and continue from the version that was last applied."""
         self.close()
-        self._http = HttpLine(self.exchange.after, host, port, MAX_LIST_BYTES)
+        self._http = HttpClient(self.exchange.after, host, port, MAX_LIST_BYTES)
         self._moved_at_us, self._next_may_fail = self.exchange.clock.now_us(), True
         self._task = asyncio.create_task(self._follow())
 
@@ -163,7 +163,7 @@
             try:
                 await self._call()
                 new_failures = 0
-            except (*FAILURES, ListError) as error:
+            except (*CALL_ERRORS, ListError) as error:
                 self._limited_warnings.warning(
                     "discovery: the watch call failed: %s", str(error) or type(error).__name__
                 )
@@ -178,7 +178,7 @@
                 failures, self.failures_since_move = 0, self.failures_since_move + 1
                 await pause(self.exchange.after, RETRY_DELAY_US)
         self._first_call_done.set()
-        self.exchange.list_instances(UpdateScope.FAILED, ())
+        self.exchange.update_endpoints(UpdateScope.FAILED, ())
 
     def _recently_moved(self) -> bool:
         """Whether failures are not counted yet after a move.
@@ -189,7 +189,7 @@
         return self._moved_at_us is not None and now - self._moved_at_us < MOVE_TOLERANCE_US
 
     async def _call(self) -> None:
-        """Make one call and apply its answer. Raises one of FAILURES, or ListError."""
+        """Make one call and apply its answer. Raises one of CALL_ERRORS, or ListError."""
         wait_ms = SHORT_WATCH_WAIT_MS if self._next_may_fail else WATCH_WAIT_MS
         if self._pushed and not self._first_call_done.is_set():
             wait_ms = 0
@@ -218,7 +218,7 @@
             self._limited_warnings.warning(
                 "discovery: %d entries left out, they cannot be parsed: %s", count, first
             )
-        self.exchange.list_instances(server_list.scope, server_list.entries)
+        self.exchange.update_endpoints(server_list.scope, server_list.entries)
         previous_seq, self.seq = self.seq, server_list.seq
         return server_list.seq > previous_seq and bool(server_list.entries)
 
--- a/rowanrack/fronts/platform/inbox.py
+++ b/rowanrack/fronts/platform/inbox.py
@@ -17,7 +17,7 @@
     "ok": CallVerdict(Result.OK),
     "error": CallVerdict(Result.ERROR),
     "later": CallVerdict(Result.FULL),
-    "gone": CallVerdict(Result.MOOT, end=Ending.OVER),
+    "gone": CallVerdict(Result.MOOT, end=Ending.WITHDRAWN),
     "exhausted": CallVerdict(Result.MOOT),
     "": CallVerdict(Result.ERROR),  # missing or ambiguous: the attempt may have run
 }
@@ -47,14 +47,14 @@
     return values.get("x0"), values.get("x1")
 
 
-class InboxForm:
+class InboxCallProtocol:
     """Builds the platform's calls and interprets their answers."""
 
     def __init__(self, pressure_names: Sequence[str] = ()) -> None:
         self._pressure_names = pressure_names
         self._bulk_rejecting: dict[str, None] = {}  # endpoints that rejected a bulk call, oldest first
 
-    def part(self, waiting: Sequence[Attempt]) -> int:
+    def batch_size(self, waiting: Sequence[Attempt]) -> int:
         """Return how many attempts go in the next call: one if the endpoint has rejected a bulk call."""
         if waiting[0].endpoint.name in self._bulk_rejecting:
             return 1
@@ -103,13 +103,13 @@
             case 504:
                 return CallVerdict(Result.MOOT)
             case 410:
-                return CallVerdict(Result.MOOT, end=Ending.OVER)
+                return CallVerdict(Result.MOOT, end=Ending.WITHDRAWN)
             case _:
                 return CallVerdict(Result.ERROR)
 
     def _bulk_verdicts(self, part: Sequence[Attempt], reply: Reply) -> list[CallVerdict]:
         match reply.status:
-            case 200 if reply.whole:
+            case 200 if reply.complete:
                 return [
                     VERDICT_BY_STATE[state]
                     for state in bulk.states(reply.body, [attempt.message.id for attempt in part])
--- a/rowanrack/fronts/platform/notices.py
+++ b/rowanrack/fronts/platform/notices.py
@@ -10,7 +10,7 @@
 from itertools import islice
 
 from rowanrack.core.messages import End, Ending, Message
-from rowanrack.net.http import CONNECT_US, FAILURES, Call, HttpCaller
+from rowanrack.net.http import CALL_ERRORS, CONNECT_TIMEOUT_US, Call, HttpClientConnection
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import After, Timer, pause, time_limit
 
@@ -39,7 +39,7 @@
     """A persistent connection for notices. While it is idle, a notice is written to it without delay."""
 
     def __init__(self) -> None:
-        self.caller: HttpCaller | None = None  # None while the connection is not open
+        self.caller: HttpClientConnection | None = None  # None while the connection is not open
         self.batch: dict[str, End] = {}  # notices written and not yet confirmed
         self.needed = asyncio.Event()
         self.timer: Timer | None = None
@@ -99,9 +99,9 @@
     def ended(self, message: Message, end: End) -> None:
         """Queue a notice if a message was refused or failed. Called by the exchange when a message ends."""
         if end.ending in (Ending.REFUSED, Ending.FAILED):
-            self.tell(message.id, end)
+            self.queue_notice(message.id, end)
 
-    def tell(self, message_id: str, end: End) -> None:
+    def queue_notice(self, message_id: str, end: End) -> None:
         """Queue a notice, which `flush` sends in the next iteration of the event loop at the latest."""
         self.pending[message_id] = self._unsent[message_id] = end
         if self._flush_handle is None:
@@ -150,12 +150,12 @@
             connection.needed.clear()
             reason = ""
             try:
-                async with time_limit(self._after, CONNECT_US):
+                async with time_limit(self._after, CONNECT_TIMEOUT_US):
                     stream = await Stream.connect(self._host, self._port)
                 address = f"{self._host}:{self._port}"
-                connection.caller = HttpCaller(stream, address, 4096, self._after)
+                connection.caller = HttpClientConnection(stream, address, 4096, self._after)
                 reason = await self._confirm_batches(connection, connection.caller)
-            except FAILURES as error:
+            except CALL_ERRORS as error:
                 reason = str(error) or type(error).__name__
             except Exception:
                 log.exception("notices: sending failed unexpectedly")  # a defect must not end this task
@@ -168,11 +168,11 @@
                 connection.needed.set()
                 await pause(self._after, RECONNECT_DELAY_US)
 
-    async def _confirm_batches(self, connection: NoticeConnection, caller: HttpCaller) -> str:
+    async def _confirm_batches(self, connection: NoticeConnection, caller: HttpClientConnection) -> str:
         """Read the answer to each batch; return the reason why the connection is no longer usable."""
         self.flush()
         while True:
-            await caller.stream.fill_quietly()  # until the answer to a batch or the end of the connection
+            await caller.stream.wait_for_input()  # until the answer to a batch or the end of the connection
             if not connection.batch:
                 return ""
             reply = await caller.reply()
--- a/rowanrack/lab/channels.py
+++ b/rowanrack/lab/channels.py
@@ -14,7 +14,7 @@
 from rowanrack.lab.fleet import Fleet, FleetError, Sender
 from rowanrack.lab.plan import Announce, ReadAt
 from rowanrack.lab.scenario import FLEET, Channels
-from rowanrack.net.http import FAILURES
+from rowanrack.net.http import CALL_ERRORS
 
 PORT = "log"
 LIMIT = 1000
@@ -59,7 +59,7 @@
         path = f"/_channels/{channel}?at={as_of}&limit={limit}"
         try:
             status, body = await self.fleet.senders[who].mgmt("GET", path)
-        except FAILURES as error:
+        except CALL_ERRORS as error:
             told |= {"text": str(error) or type(error).__name__}
         else:
             told["status"] = status
@@ -95,7 +95,7 @@
                 status, body = await self.fleet.senders[one.on].mgmt(
                     "POST", "/_layout", json.dumps(doc).encode()
                 )
-            except FAILURES as error:
+            except CALL_ERRORS as error:
                 status, body = 0, str(error).encode()
             if status == 200:
                 self.fleet.book.add("layout", one.on, value=since, note=f"{len(one.sites)} sites")
--- a/rowanrack/lab/fleet.py
+++ b/rowanrack/lab/fleet.py
@@ -28,7 +28,7 @@
 from rowanrack.lab.role import ROOT, Role
 from rowanrack.lab.scenario import GRADES, Grade
 from rowanrack.lab.stand_in import reserve, sender_address
-from rowanrack.net.http import Call, HttpCaller
+from rowanrack.net.http import Call, HttpClientConnection
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import after
 
@@ -317,7 +317,9 @@
         async with asyncio.timeout(MGMT_S):
             stream = await Stream.connect(HOST, self.port("mgmt"))
             try:
-                reply = await HttpCaller(stream, "mgmt", 1 << 20, after).call(Call(method, path, (), body))
+                reply = await HttpClientConnection(stream, "mgmt", 1 << 20, after).call(
+                    Call(method, path, (), body)
+                )
             finally:
                 stream.abort()
         return reply.status, reply.body
--- a/rowanrack/lab/stand_in.py
+++ b/rowanrack/lab/stand_in.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from rowanrack.net.http import HttpError, HttpServed, Reply, Request
+from rowanrack.net.http import HttpError, HttpServerConnection, Reply, Request
 from rowanrack.net.stream import Stream, stream_protocol
 
 Behaviour = Callable[[Request], Awaitable[Reply | None]]
@@ -88,10 +88,10 @@
             stream.close_soon()
 
     async def _talk(self, stream: Stream, peer: str) -> None:
-        served, more = HttpServed(stream, 1 << 20), True
+        served, more = HttpServerConnection(stream, 1 << 20), True
         while more and (request := await served.receive()) is not None:
             answering = asyncio.ensure_future(self.answer(request, peer))
-            ending = asyncio.ensure_future(stream.fill_quietly())
+            ending = asyncio.ensure_future(stream.wait_for_input())
             await asyncio.wait({answering, ending}, return_when=asyncio.FIRST_COMPLETED)
             reply = answering.result() if answering.done() else None
             for task in (answering, ending):
@@ -120,9 +120,9 @@
     async def raw(self, data: bytes) -> bytes:
         """Write bytes, and return what comes until a line is whole or the connection ends."""
         await self.stream.send(data)
-        while b"\n" not in self.stream.inward.peek(1 << 16) and await self.stream.fill():
+        while b"\n" not in self.stream.receive_buffer.peek(1 << 16) and await self.stream.fill():
             pass
-        return self.stream.inward.read(1 << 16)
+        return self.stream.receive_buffer.read(1 << 16)
 
     async def command(self, *words: str | bytes) -> bytes:
         """One command and its answer."""
--- a/rowanrack/load/load_shedder.py
+++ b/rowanrack/load/load_shedder.py
@@ -17,9 +17,9 @@
 NEW_CLIENT_SHARES = (0.1, 0.1, 0.05)  # share of time for clients without a good request, by level
 MAX_DEBT_US = 20_000  # time that new clients may use beyond their share before the next connection is delayed
 MAX_PACING_DELAY_US = 250_000  # longest delay of a new connection
-# Above level CALM, a client whose incomplete request has cost this much is read only now and then.
+# Above level NORMAL, a client whose incomplete request has cost this much is read only now and then.
 SLOW_READ_COST_US = 2_000
-# Event-loop time after which, above level CALM, a client without a complete request is disconnected.
+# Event-loop time after which, above level NORMAL, a client without a complete request is disconnected.
 MAX_CLIENT_TIME_US = 20_000
 MIN_PENALTY_US = 250_000  # initial delay of the answer to invalid input
 # Longest delay of that answer: it is due 3 s after connecting, and the connection may be delayed too.
@@ -37,7 +37,7 @@
 class Level(IntEnum):
     """The level of overload, and what is shed at it."""
 
-    CALM = 0  # nothing is shed
+    NORMAL = 0  # nothing is shed
     ELEVATED = 1  # invalid and silent clients get less time
     OVERLOADED = 2  # a share of new messages is refused as well, depending on the delay
 
@@ -46,7 +46,7 @@
     """Keeps the overload level, evaluated once per window. All times are microseconds on one clock."""
 
     def __init__(self, now_us: int = 0) -> None:
-        self.level = Level.CALM
+        self.level = Level.NORMAL
         self.penalty_us = MIN_PENALTY_US
         self.delay_us = 0  # delay in the last complete window
         self.new_client_share = 0.0  # share of that window used by new clients
@@ -60,7 +60,7 @@
         self.refused_share = 0.0  # share of new messages to refuse
         self._refusal_accumulator = 0.0
         self._level_since = now_us
-        self.refused = 0  # messages refused early since the level last was CALM
+        self.refused = 0  # messages refused early since the level last was NORMAL
 
     def record_delay(self, now_us: int, delay_us: int) -> None:
         """Record that a round or an event-loop iteration finished this much after it was due."""
@@ -68,11 +68,11 @@
         if now_us - self._window_start_us >= WINDOW_US:
             self._end_window(now_us)
 
-    def spent(self, us: float) -> None:
+    def charge(self, us: float) -> None:
         """Charge processor time to new clients; a negative amount refunds a client that proved good."""
         self._spent_us += us
 
-    def wasted(self, us: float) -> None:
+    def charge_wasted(self, us: float) -> None:
         """Charge the time of a client that left with neither a good request nor an answer to a bad one.
 
         Only this time counts towards the delay of connections: a client that has just connected may be a
@@ -80,7 +80,7 @@
         """
         self._debt_us += us
 
-    def pace_us(self, now_us: int) -> int:
+    def pacing_delay_us(self, now_us: int) -> int:
         """Return for how long to delay the next connection so that new clients keep to their share.
 
         This protects an overloaded sender against clients that connect and send nothing, or disconnect at
@@ -89,18 +89,18 @@
         allowed = NEW_CLIENT_SHARES[self.level]
         self._debt_us = max(0.0, self._debt_us - allowed * max(0, now_us - self._debt_updated_us))
         self._debt_updated_us = now_us
-        if self.level is Level.CALM or self._debt_us <= MAX_DEBT_US:
+        if self.level is Level.NORMAL or self._debt_us <= MAX_DEBT_US:
             return 0
         self._paced = True
         return min(MAX_PACING_DELAY_US, int((self._debt_us - MAX_DEBT_US) / allowed) + 1)
 
-    def in_pieces(self, us: float) -> bool:
+    def should_read_slowly(self, us: float) -> bool:
         """Return whether, under overload, a client's request has cost enough to be read only now and then."""
-        return self.level is not Level.CALM and us > SLOW_READ_COST_US
+        return self.level is not Level.NORMAL and us > SLOW_READ_COST_US
 
-    def used_up(self, us: float) -> bool:
+    def exceeds_client_time(self, us: float) -> bool:
         """Return whether, under overload, a client has used too much time without a complete request."""
-        return self.level is not Level.CALM and us > MAX_CLIENT_TIME_US
+        return self.level is not Level.NORMAL and us > MAX_CLIENT_TIME_US
 
     def early_refusal_us(self) -> int:
         """Return the retry time with which to refuse a new message early, or 0 to accept it."""
@@ -123,12 +123,12 @@
             if delay_us >= OVERLOAD_DELAY_US
             else Level.ELEVATED
             if delay_us >= ELEVATED_DELAY_US
-            else Level.CALM
+            else Level.NORMAL
         )
         eased_level = (
             Level.OVERLOADED
             if delay_us >= OVERLOAD_DELAY_US * EASE_FACTOR
-            else (Level.ELEVATED if delay_us >= ELEVATED_DELAY_US * EASE_FACTOR else Level.CALM)
+            else (Level.ELEVATED if delay_us >= ELEVATED_DELAY_US * EASE_FACTOR else Level.NORMAL)
         )
         if raised_level > self.level:
             self._change_level(raised_level, now_us)
@@ -147,7 +147,7 @@
         self._adjust_refused_share(delay_us)
         self._adjust_penalty()
 
-    def penalties(self, connections: int) -> int:
+    def max_penalized(self, connections: int) -> int:
         """Return how many of this number of connections may be delayed at once; longer delays allow more."""
         max_count = max(MIN_PENALTY_COUNT, int(connections * MAX_PENALTY_SHARE))
         growth = (self.penalty_us - MIN_PENALTY_US) / (MAX_PENALTY_US - MIN_PENALTY_US)
@@ -172,14 +172,14 @@
 
     def _change_level(self, level: Level, now_us: int) -> None:
         """Change the level; log one line when overload begins and one when it ends."""
-        if self.level is Level.CALM:
+        if self.level is Level.NORMAL:
             log.warning(
                 "overload began: rounds are %d ms late, new clients use %d%% of the time",
                 self.delay_us // 1000,
                 round(self.new_client_share * 100),
             )
             self._level_since = now_us
-        elif level is Level.CALM:
+        elif level is Level.NORMAL:
             log.warning(
                 "overload ended after %.1f s, %d messages were refused early",
                 (now_us - self._level_since) / 1e6,
--- a/rowanrack/model/calls.py
+++ b/rowanrack/model/calls.py
@@ -177,7 +177,7 @@
 
     def _keep(self, line: Line) -> None:
         name = line.place.name
-        if not line.open or not self.sender.exchange.table.listed(name):
+        if not line.open or not self.sender.exchange.endpoint_list.accepts_calls(name):
             line.close()
             return
         waiting = self.idle.setdefault(name, [])
--- a/rowanrack/model/discovery.py
+++ b/rowanrack/model/discovery.py
@@ -46,7 +46,7 @@
 
     def start(self, sender: Sender, life: object) -> None:
         """What a sender's configuration holds at its start: the list as it stands."""
-        sender.exchange.list_instances(UpdateScope.FULL, list(self.listed.values()))
+        sender.exchange.update_endpoints(UpdateScope.FULL, list(self.listed.values()))
         self._sent[sender] = len(self.changes)
         self._watching.pop(sender, None)
         assert life is sender.life
@@ -69,7 +69,7 @@
     def _fail(self, sender: Sender, life: object) -> None:
         self._watching.pop(sender, None)
         if sender.life is life:
-            sender.exchange.list_instances(UpdateScope.FAILED, ())
+            sender.exchange.update_endpoints(UpdateScope.FAILED, ())
 
     def _tell(self, sender: Sender) -> None:
         life, low, high = self._watching[sender], *self.lag_us
@@ -83,6 +83,6 @@
             for instance in news:
                 if instance.status is not EndpointStatus.LISTED:
                     self.history.add(Entry(self.engine.now, "told", sender.number, place=instance.name))
-            sender.exchange.list_instances(UpdateScope.DELTA, news)
+            sender.exchange.update_endpoints(UpdateScope.DELTA, news)
 
         self.engine.at(due, arrive)
--- a/rowanrack/model/sender.py
+++ b/rowanrack/model/sender.py
@@ -131,7 +131,7 @@
 
         self.exchange.settle = settle_and_note  # type: ignore[method-assign]
         life = self.life
-        self.exchange.watch = lambda: self.discovery.watch(self, life)
+        self.exchange.request_list = lambda: self.discovery.watch(self, life)
         self.exchange.broadcast_note = lambda note: self.tell(note)
         self.exchange.listeners[FRONT] = self._ended
         self.discovery.start(self, life)
@@ -168,7 +168,7 @@
     def hear(self, peer: int, data: bytes) -> None:
         """A note from another sender."""
         if self.alive:
-            self.exchange.heard(peer, decode_note(data))
+            self.exchange.receive_note(peer, decode_note(data))
 
     # Clients.
 
--- a/rowanrack/net/fair_scheduling.py
+++ b/rowanrack/net/fair_scheduling.py
@@ -38,7 +38,7 @@
     def record_delay(self, now_us: int, late_us: int) -> None:
         """Record that something ran this late."""
 
-    def pace_us(self, now_us: int) -> int:
+    def pacing_delay_us(self, now_us: int) -> int:
         """Return more than 0 while new clients use more than their share of the CPU."""
 
 
@@ -85,7 +85,7 @@
         over_share = (
             len(new_clients) > MAX_NEW_CLIENTS_OVER_SHARE
             and self.delay_monitor is not None
-            and self.delay_monitor.pace_us(int(now * 1e6)) > 0
+            and self.delay_monitor.pacing_delay_us(int(now * 1e6)) > 0
         )
         # If some new clients have used CPU time already, new clients delay each other: the core is not late.
         new_clients_compete = over_share or any(self._used_steps.get(key.fd) for key, _ in new_clients)
--- a/rowanrack/net/http.py
+++ b/rowanrack/net/http.py
@@ -22,11 +22,11 @@
 PRESSURE_HEADER = re.compile(rb"(?im)^x-pressure:[^\n]*\n")
 FRAMING_HEADERS = frozenset({"content-length", "transfer-encoding"})  # without them, closing ends a body
 BODILESS_STATUSES = frozenset({204, 304})
-CONNECT_US = 1_000_000  # for opening a connection: a host that is cut off does not answer
+CONNECT_TIMEOUT_US = 1_000_000  # for opening a connection: a host that is cut off does not answer
 
 
 # The answer to a request that does not arrive completely in time.
-TOO_SLOW = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+REQUEST_TIMEOUT_RESPONSE = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 class HttpError(Exception):
@@ -66,7 +66,7 @@
     status: int
     headers: dict[str, str]
     body: bytes = b""
-    whole: bool = True  # whether the complete body was received
+    complete: bool = True  # whether the complete body was received
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,25 +92,27 @@
         self.status = status
 
 
-FAILURES = (OSError, TimeoutError, CallNotSentError, CallBrokenError, BadReplyError)
+CALL_ERRORS = (OSError, TimeoutError, CallNotSentError, CallBrokenError, BadReplyError)
 
 
-class HttpLine:
+class HttpClient:
     """A client of one service: connects on demand, keeps the connection, and drops it on a failed call."""
 
     def __init__(self, after: After, host: str, port: int, body_limit: int) -> None:
         self._after, self._host, self._port, self._body_limit = after, host, port, body_limit
-        self._caller: HttpCaller | None = None
+        self._caller: HttpClientConnection | None = None
 
     async def call(self, call: Call) -> Reply:
-        """Make one call. Raise one of FAILURES."""
+        """Make one call. Raise one of CALL_ERRORS."""
         done = False
         try:
             if self._caller is None or not self._caller.reusable:
                 self.close()
-                async with time_limit(self._after, CONNECT_US):
+                async with time_limit(self._after, CONNECT_TIMEOUT_US):
                     stream = await Stream.connect(self._host, self._port)
-                self._caller = HttpCaller(stream, f"{self._host}:{self._port}", self._body_limit, self._after)
+                self._caller = HttpClientConnection(
+                    stream, f"{self._host}:{self._port}", self._body_limit, self._after
+                )
             reply = await self._caller.call(call)
             done = True
             return reply
@@ -119,7 +121,7 @@
                 self.close()
 
     async def get_json(self, target: str) -> tuple[dict[str, str], Any]:
-        """Return the headers and the JSON document at a path. Raise one of FAILURES."""
+        """Return the headers and the JSON document at a path. Raise one of CALL_ERRORS."""
         reply = await self.call(Call("GET", target))
         if reply.status != 200:
             raise BadReplyError(f"responded with status {reply.status}", reply.status)
@@ -135,7 +137,7 @@
             self._caller = None
 
 
-class HttpCaller:
+class HttpClientConnection:
     """The client side of one connection, which carries one call at a time."""
 
     def __init__(
@@ -236,7 +238,7 @@
     def _handle_unreadable_head(self, reason: str) -> Reply:
         """Handle an unreadable response head: the call may have run, unless the status line says 200."""
         if STATUS_LINE_200.match(self._response_head):
-            return Reply(200, {}, whole=False)
+            return Reply(200, {}, complete=False)
         # A malformed X-Pressure header makes h11 reject the head: parse the head again without that header.
         cleaned, parser = PRESSURE_HEADER.sub(b"", bytes(self._response_head)), h11.Connection(h11.CLIENT)
         if cleaned != self._response_head:
@@ -274,9 +276,9 @@
             await self._receive()
 
     async def _receive(self) -> None:
-        if not len(self.stream.inward):
+        if not len(self.stream.receive_buffer):
             await self.stream.fill()
-        data = self.stream.inward.read(len(self.stream.inward))
+        data = self.stream.receive_buffer.read(len(self.stream.receive_buffer))
         if len(self._response_head) < MAX_HEAD_BYTES:
             self._response_head += data
         self._h11.receive_data(data)
@@ -293,7 +295,7 @@
     return HTTPStatus(status).phrase if status in HTTPStatus._value2member_map_ else ""
 
 
-class HttpServed:
+class HttpServerConnection:
     """The server side of one connection."""
 
     def __init__(self, stream: Stream, body_limit: int) -> None:
@@ -333,9 +335,11 @@
                         if self._h11.they_are_waiting_for_100_continue:
                             go_on = h11.InformationalResponse(status_code=100, headers=[])
                             await self.stream.send(self._h11.send(go_on) or b"")
-                        if not len(self.stream.inward) and await self.stream.fill():
+                        if not len(self.stream.receive_buffer) and await self.stream.fill():
                             begun()
-                        self._h11.receive_data(self.stream.inward.read(len(self.stream.inward)))
+                        self._h11.receive_data(
+                            self.stream.receive_buffer.read(len(self.stream.receive_buffer))
+                        )
                     case _:
                         return None
         except h11.RemoteProtocolError as error:
--- a/rowanrack/net/listener.py
+++ b/rowanrack/net/listener.py
@@ -22,7 +22,7 @@
 from rowanrack.load.load_shedder import Level
 from rowanrack.load.metered import CpuMeteredCoroutine
 from rowanrack.net.fair_scheduling import ConnectionPriority, FairSelector, fair_selector_of
-from rowanrack.net.rare_log import RareLog
+from rowanrack.net.rate_limited_log import RateLimitedLog
 from rowanrack.net.stream import Stream, stream_protocol
 from rowanrack.net.timing import After, pause, time_limit
 
@@ -49,11 +49,11 @@
 MAX_LINGER_BYTES = 1 << 20  # read and discarded meanwhile
 
 
-class State(Enum):
+class ConnectionState(Enum):
     """The state of a connection."""
 
     NEW = "new"  # nothing received yet
-    OWING = "owing"  # part of a request received
+    RECEIVING = "owing"  # part of a request received
     BUSY = "busy"  # its request is being answered
     IDLE = "idle"  # between requests
     LEAVING = "leaving"  # the last answer has been written
@@ -98,24 +98,24 @@
 class Listener(ABC):
     """A listening port that serves each connection until it ends; an error ends only its own connection."""
 
-    too_slow = b""  # sent to a client whose request does not arrive completely in time
-    shared = False  # whether the next process shares the port at a hot restart
-    owed_us, spared_us = REQUEST_TIMEOUT_US, REQUEST_EVICTION_AGE_US
+    timeout_answer = b""  # sent to a client whose request does not arrive completely in time
+    reuse_port = False  # whether the next process shares the port at a hot restart
+    request_timeout_us, request_eviction_age_us = REQUEST_TIMEOUT_US, REQUEST_EVICTION_AGE_US
 
     def __init__(self, max_connections: int, exchange: Exchange) -> None:
         self.max_connections, self.exchange = max_connections, exchange
         self.after: After = exchange.after
         self.load_shedder = exchange.load_shedder
         # The state of each stream and the time of its last change; the latest change comes last.
-        self.streams: dict[Stream, tuple[State, int]] = {}
+        self.streams: dict[Stream, tuple[ConnectionState, int]] = {}
         self.draining = self._ended = False
-        self.lame = False  # in lame duck, connections close after their answer and the port stays open
+        self.lame_duck = False  # in lame duck, connections close after their answer and the port stays open
         self.port = 0
         self._accepting_task: asyncio.Task[None] | None = None
         self._connecting: set[asyncio.Task[None]] = set()  # accepted connections that are no streams yet
         self._tasks: set[asyncio.Task[None]] = set()
-        self._accept_warnings = RareLog(log)
-        self._bad_input_warnings = RareLog(log)
+        self._accept_warnings = RateLimitedLog(log)
+        self._bad_input_warnings = RateLimitedLog(log)
         self._active_penalties = 0
         self._fair_selector: FairSelector | None = None
         self._new_clients: dict[Stream, float] = {}  # no good request yet; CPU time used, in us
@@ -124,14 +124,14 @@
         self._accept_cpu_us = 0.0  # CPU time used for accepting since the last accepted connection
 
     @abstractmethod
-    async def talk(self, stream: Stream) -> None:
-        """Serve one connection, and `mark` its state; return to close it."""
+    async def serve_connection(self, stream: Stream) -> None:
+        """Serve one connection, and record its state by `set_state`; return to close it."""
 
-    def mark(self, stream: Stream, state: State) -> None:
+    def set_state(self, stream: Stream, state: ConnectionState) -> None:
         """Set the state of a connection. The answer to a good request ends its status as a new client."""
         self.exchange.run_overdue_round()
-        if state is State.IDLE and (used_us := self._new_clients.pop(stream, None)) is not None:
-            self.load_shedder.spent(-used_us)
+        if state is ConnectionState.IDLE and (used_us := self._new_clients.pop(stream, None)) is not None:
+            self.load_shedder.charge(-used_us)
             self._set_priority(stream, ConnectionPriority.CLIENT)
         previous_state, since = self.streams.get(stream, (None, 0))
         if previous_state is state:
@@ -141,7 +141,7 @@
         # the connection was opened.
         since = (
             min(now, since + FIRST_BYTE_GRACE_US)
-            if previous_state is State.NEW and state is State.OWING
+            if previous_state is ConnectionState.NEW and state is ConnectionState.RECEIVING
             else now
         )
         self.streams.pop(stream, None)
@@ -150,29 +150,29 @@
     @property
     def leaving(self) -> bool:
         """Whether connections are closed between requests: the port drains, or is in lame duck."""
-        return self.draining or self.lame
+        return self.draining or self.lame_duck
 
     @property
-    def gone(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the port is closed and all connections have ended, including those being accepted."""
         accepting = self._accepting_task is not None and not self._accepting_task.done()
         return not (accepting or self._connecting or self.streams)
 
-    def may_leave(self, stream: Stream) -> bool:
+    def may_close(self, stream: Stream) -> bool:
         """Whether a connection between requests is to be closed now.
 
         A connection with unread input is not closed: the close would reset it, which might destroy the last
         answer. A new connection is not closed either, as its first request may be on its way.
         """
-        state, _ = self.streams.get(stream, (State.LEAVING, 0))
-        return self.leaving and state is not State.NEW and not stream.unread
+        state, _ = self.streams.get(stream, (ConnectionState.LEAVING, 0))
+        return self.leaving and state is not ConnectionState.NEW and not stream.unread
 
     async def listen(self, host: str, port: int) -> None:
         """Open the port; with 0 the operating system chooses one."""
         family, _, _, _, address = (await asyncio.get_running_loop().getaddrinfo(host, port))[0]
         listening_socket = socket.socket(family, socket.SOCK_STREAM)
         listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if self.shared:  # at a hot restart the next process listens before this one stops
+        if self.reuse_port:  # at a hot restart the next process listens before this one stops
             listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         try:
             listening_socket.bind(address)
@@ -195,15 +195,15 @@
         self._accepting_task = accept_task
         self._start(self._check_timeouts())
 
-    def lameduck(self, on: bool) -> None:
+    def set_lame_duck(self, on: bool) -> None:
         """Begin or end lame duck mode, in which each connection is closed once it is between requests."""
-        self.lame = on
+        self.lame_duck = on
         if on:
             self._close_idle()
 
     def _close_idle(self) -> None:
         for stream, (state, _) in list(self.streams.items()):
-            if state is State.IDLE and not stream.unread:
+            if state is ConnectionState.IDLE and not stream.unread:
                 stream.close_at_once()
 
     def drain(self) -> None:
@@ -219,7 +219,7 @@
         for task in self._tasks:
             task.cancel()
 
-    async def farewell(self, stream: Stream, last_answer: bytes, reason: str) -> None:
+    async def reject(self, stream: Stream, last_answer: bytes, reason: str) -> None:
         """Answer bad input, and close the connection gracefully.
 
         The answer is delayed, which slows down clients that reconnect as soon as they are rejected. Closing
@@ -230,20 +230,20 @@
         self._new_clients.setdefault(stream, 0.0)
         self._rejected.add(stream)
         self._set_priority(stream, ConnectionPriority.NEW_CLIENT)
-        self.mark(stream, State.BUSY)
-        if self._active_penalties < self.load_shedder.penalties(self.max_connections):
+        self.set_state(stream, ConnectionState.BUSY)
+        if self._active_penalties < self.load_shedder.max_penalized(self.max_connections):
             self._active_penalties += 1
             try:
                 await pause(self.after, self.load_shedder.penalty_us)
             finally:
                 self._active_penalties -= 1
         await stream.send(last_answer)
-        self.mark(stream, State.LEAVING)
+        self.set_state(stream, ConnectionState.LEAVING)
         stream.shutdown_write()
         with suppress(TimeoutError):
             async with time_limit(self.after, LINGER_TIMEOUT_US):
                 # Reading costs CPU time, too: none is spent on it while the core is full.
-                remaining = MAX_LINGER_BYTES if self.load_shedder.level is Level.CALM else 0
+                remaining = MAX_LINGER_BYTES if self.load_shedder.level is Level.NORMAL else 0
                 while remaining > 0 and (discarded := await stream.discard_input()):
                     remaining -= discarded
                 if remaining <= 0:  # let the client wait instead of reading all it sends
@@ -267,7 +267,7 @@
                     )
                     await pause(self.after, ACCEPT_RETRY_INTERVAL_US)
                 self.exchange.run_overdue_round()
-                if wait_us := self.load_shedder.pace_us(self._now()):
+                if wait_us := self.load_shedder.pacing_delay_us(self._now()):
                     await pause(self.after, wait_us)
                 # Iterations are long on a full core: with one accept in each, clients would wait for seconds.
                 batch = self._accept_batch(listening_socket, ACCEPT_BATCH_COUNT)
@@ -278,7 +278,7 @@
                 if len(alive) < len(batch):
                     wasted_us = self._accept_cpu_us * (1 - len(alive) / len(batch))
                     self._accept_cpu_us -= wasted_us
-                    self.load_shedder.wasted(wasted_us)
+                    self.load_shedder.charge_wasted(wasted_us)
                 if connecting := self._connect_all(alive):
                     await asyncio.wait(connecting)  # a cancellation does not cancel these tasks
                 # While clients leave as fast as they connect, nothing else here yields to the event loop.
@@ -297,7 +297,7 @@
         )
         room = min(limit, self.max_connections - open_count)
         while len(batch) < room:
-            if batch and not self.draining and self.load_shedder.pace_us(self._now()):
+            if batch and not self.draining and self.load_shedder.pacing_delay_us(self._now()):
                 break
             try:
                 accepted, _ = listening_socket.accept()
@@ -358,17 +358,17 @@
         # An answered connection is more dispensable than one whose first request may be on its way, and that
         # one more than one with a partial request.
         eviction_order = (
-            (State.LEAVING, 0),
-            (State.IDLE, IDLE_EVICTION_AGE_US),
-            (State.NEW, self.spared_us),
-            (State.OWING, self.spared_us),
+            (ConnectionState.LEAVING, 0),
+            (ConnectionState.IDLE, IDLE_EVICTION_AGE_US),
+            (ConnectionState.NEW, self.request_eviction_age_us),
+            (ConnectionState.RECEIVING, self.request_eviction_age_us),
         )
         for state, min_age_us in eviction_order:
             for stream, (current, since) in self.streams.items():
                 if now - since < min_age_us:
                     break  # the following ones are younger
                 # A request that has arrived and is not read yet protects its connection.
-                if current is state and (state is State.LEAVING or not stream.unread_beyond_buffer):
+                if current is state and (state is ConnectionState.LEAVING or not stream.unread_beyond_buffer):
                     del self.streams[stream]
                     stream.close_at_once()
                     return True
@@ -391,39 +391,43 @@
             # left for a request: they open a new one after an idle one is closed.
             crowded = len(self.streams) > self.max_connections * CROWDED_FRACTION
             for stream, (state, since) in list(self.streams.items()):
-                if stream.closing or now - since < min(self.owed_us, IDLE_EVICTION_AGE_US):
+                if stream.closing or now - since < min(self.request_timeout_us, IDLE_EVICTION_AGE_US):
                     continue
                 if stream.unread_beyond_buffer and stream not in self._paused:
                     continue
-                if state is State.OWING and now - since >= self.owed_us:
+                if state is ConnectionState.RECEIVING and now - since >= self.request_timeout_us:
                     self._bad_input_warnings.warning(
                         "rejected the input of a client: the request did not arrive completely in time"
                     )
-                    stream.send_last(self.too_slow)
+                    stream.send_last(self.timeout_answer)
                     stream.close_at_once()
                 elif now - since >= self._silence_limit_us(state, crowded):
                     stream.close_at_once()
 
-    def _silence_limit_us(self, state: State, crowded: bool) -> int:
+    def _silence_limit_us(self, state: ConnectionState, crowded: bool) -> int:
         """Return for how long a connection in this state may be silent."""
         match state:
-            case State.NEW:
-                return min(self.owed_us, LEAVING_FIRST_BYTE_TIMEOUT_US) if self.leaving else self.owed_us
-            case State.IDLE:
+            case ConnectionState.NEW:
+                return (
+                    min(self.request_timeout_us, LEAVING_FIRST_BYTE_TIMEOUT_US)
+                    if self.leaving
+                    else self.request_timeout_us
+                )
+            case ConnectionState.IDLE:
                 return IDLE_EVICTION_AGE_US if crowded else IDLE_TIMEOUT_US
             case _:
                 return NO_TIMEOUT_US
 
     def _start_serving(self, stream: Stream) -> None:
-        self.load_shedder.spent(CONNECTION_OVERHEAD_US)
+        self.load_shedder.charge(CONNECTION_OVERHEAD_US)
         self._set_priority(stream, ConnectionPriority.NEW_CLIENT)
         self._new_clients[stream], self._accept_cpu_us = self._accept_cpu_us + CONNECTION_OVERHEAD_US, 0.0
-        self.mark(stream, State.NEW)
+        self.set_state(stream, ConnectionState.NEW)
         self._start(self._serve(stream))
 
     async def _serve(self, stream: Stream) -> None:
         try:
-            await CpuMeteredCoroutine(self.talk(stream), lambda us: self._charge_cpu(stream, us))
+            await CpuMeteredCoroutine(self.serve_connection(stream), lambda us: self._charge_cpu(stream, us))
         except (OSError, TimeoutError) as error:
             log.debug("client connection ended: %s", error)
         except Exception:
@@ -432,29 +436,33 @@
             self.streams.pop(stream, None)
             used_us = self._new_clients.pop(stream, None)
             if used_us is not None and stream not in self._rejected:
-                self.load_shedder.wasted(used_us)
+                self.load_shedder.charge_wasted(used_us)
             self._rejected.discard(stream)
             stream.close_at_once()
 
     def _charge_accepting(self, us: float) -> None:
         self._accept_cpu_us += us
-        self.load_shedder.spent(us)
+        self.load_shedder.charge(us)
 
     def _charge_cpu(self, stream: Stream, us: float) -> None:
         if (used_us := self._new_clients.get(stream)) is not None:
             self._new_clients[stream] = used_us + us
-            self.load_shedder.spent(us)
+            self.load_shedder.charge(us)
             self._set_priority(stream, ConnectionPriority.NEW_CLIENT, used_us + us)
-            state = self.streams.get(stream, (State.LEAVING, 0))[0]
-            awaiting_request = state in (State.NEW, State.OWING)
-            if awaiting_request and not stream.closing and self.load_shedder.used_up(used_us + us):
+            state = self.streams.get(stream, (ConnectionState.LEAVING, 0))[0]
+            awaiting_request = state in (ConnectionState.NEW, ConnectionState.RECEIVING)
+            if (
+                awaiting_request
+                and not stream.closing
+                and self.load_shedder.exceeds_client_time(used_us + us)
+            ):
                 # Requests that arrive byte by byte would use up a full core.
                 self._bad_input_warnings.warning(
                     "rejected the input of a client: reading its request takes too much time"
                 )
-                stream.send_last(self.too_slow)
+                stream.send_last(self.timeout_answer)
                 stream.close_at_once()
-            elif awaiting_request and self.load_shedder.in_pieces(used_us + us):
+            elif awaiting_request and self.load_shedder.should_read_slowly(used_us + us):
                 self._pause_reading(stream)
 
     def _pause_reading(self, stream: Stream) -> None:
--- a/rowanrack/net/peers.py
+++ b/rowanrack/net/peers.py
@@ -7,7 +7,7 @@
 from asyncio import AbstractEventLoop, get_running_loop
 from collections.abc import Callable, Sequence
 
-from rowanrack.net.rare_log import RareLog
+from rowanrack.net.rate_limited_log import RateLimitedLog
 from rowanspindle.notes import MAX_NOTE_BYTES, Note, NoteError, decode_note, encode_note
 
 log = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
         self._peer_numbers = {address: number for number, address in enumerate(peers)}
         # The token bucket of each peer: notes that it may still send, and the time in us of that count.
         self._buckets: dict[int, tuple[float, int]] = {}
-        self._warnings = RareLog(log)
+        self._warnings = RateLimitedLog(log)
         self._socket: socket.socket | None = None
         self._loop: AbstractEventLoop | None = None
         self.dropped = 0
@@ -69,7 +69,7 @@
             self._socket.close()
             self._socket = None
 
-    def tell(self, note: Note) -> None:
+    def send(self, note: Note) -> None:
         """Send a note to all peers; one that cannot be sent is lost, as any note may be."""
         if self._socket is None:
             return
--- a/rowanrack/net/pool.py
+++ b/rowanrack/net/pool.py
@@ -15,11 +15,11 @@
     Call,
     CallBrokenError,
     CallNotSentError,
-    HttpCaller,
+    HttpClientConnection,
     Reply,
     StaleConnectionError,
 )
-from rowanrack.net.rare_log import RareLog
+from rowanrack.net.rate_limited_log import RateLimitedLog
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import time_limit
 from rowanspindle import Result
@@ -33,10 +33,10 @@
 RESPONSE_REST_TIMEOUT_US = 200_000
 
 
-class CallForm(Protocol):
+class CallProtocol(Protocol):
     """How messages of a front are sent to endpoints."""
 
-    def part(self, waiting: Sequence[Attempt]) -> int:
+    def batch_size(self, waiting: Sequence[Attempt]) -> int:
         """Return how many attempts, from the first on, go into one call; all are for one endpoint."""
 
     def call(self, part: Sequence[Attempt], left_us: int) -> Call:
@@ -49,23 +49,23 @@
 class IdleConnection:
     """An idle connection; any input meanwhile closes it."""
 
-    def __init__(self, endpoint: Endpoint, caller: HttpCaller, now_us: int) -> None:
+    def __init__(self, endpoint: Endpoint, caller: HttpClientConnection, now_us: int) -> None:
         self.endpoint, self.caller, self.since_us = endpoint, caller, now_us
-        self.watch = asyncio.create_task(caller.stream.fill_quietly())
+        self.watch = asyncio.create_task(caller.stream.wait_for_input())
         self.timer: WheelTimer | None = None
 
 
 class EndpointPool:
     """Connections to endpoints, each with one call at a time, and a task for each batch of attempts."""
 
-    def __init__(self, exchange: Exchange, forms: dict[str, CallForm], max_idle: int) -> None:
+    def __init__(self, exchange: Exchange, forms: dict[str, CallProtocol], max_idle: int) -> None:
         self.exchange, self.forms = exchange, forms
         self.idle: defaultdict[str, list[IdleConnection]] = defaultdict(list)
         self.tasks: dict[Batch, asyncio.Task[None]] = {}
-        self._callers: dict[Batch, HttpCaller] = {}  # of calls in progress
+        self._callers: dict[Batch, HttpClientConnection] = {}  # of calls in progress
         self._idle_by_age: dict[IdleConnection, None] = {}  # all idle connections, longest idle first
         self._max_idle = max_idle
-        self._warnings = RareLog(log)
+        self._warnings = RateLimitedLog(log)
         self._idle_timeout_us = int(exchange.settings.keepalive_us * IDLE_TIMEOUT_FRACTION)
 
     # Called by the exchange.
@@ -107,7 +107,7 @@
 
     async def _run(self, batch: Batch) -> None:
         """Make the calls of a batch one after the other, on one connection: a batch has one slot."""
-        caller: HttpCaller | None = None
+        caller: HttpClientConnection | None = None
         try:
             while waiting := batch.waiting():
                 if caller is None:
@@ -115,7 +115,9 @@
                 form = self.forms[waiting[0].message.front]
                 same_form = [attempt for attempt in waiting if self.forms[attempt.message.front] is form]
                 part = [
-                    attempt for attempt in same_form[: form.part(same_form)] if self.exchange.begin(attempt)
+                    attempt
+                    for attempt in same_form[: form.batch_size(same_form)]
+                    if self.exchange.begin(attempt)
                 ]
                 if not part:
                     continue
@@ -143,7 +145,9 @@
             if caller is not None:
                 caller.stream.abort()
 
-    async def _call(self, caller: HttpCaller, form: CallForm, part: list[Attempt]) -> list[CallVerdict]:
+    async def _call(
+        self, caller: HttpClientConnection, form: CallProtocol, part: list[Attempt]
+    ) -> list[CallVerdict]:
         """Make one call and return the verdict on each attempt in it."""
         now = self.exchange.clock.now_us()
         left_us = max(attempt.started_us + attempt.timeout_us - now for attempt in part)
@@ -164,15 +168,15 @@
             del self._callers[batch]
         return [CallVerdict(result)] * len(part)
 
-    async def _connect(self, endpoint: Endpoint) -> HttpCaller:
+    async def _connect(self, endpoint: Endpoint) -> HttpClientConnection:
         async with time_limit(self.exchange.after, self.exchange.settings.connect_timeout_us):
             stream = await Stream.connect(endpoint.host, endpoint.port)
         host = f"{endpoint.host}:{endpoint.port}"
-        return HttpCaller(
+        return HttpClientConnection(
             stream, host, MAX_RESPONSE_BODY_BYTES, self.exchange.after, RESPONSE_REST_TIMEOUT_US
         )
 
-    async def _take_idle(self, endpoint: Endpoint) -> HttpCaller | None:
+    async def _take_idle(self, endpoint: Endpoint) -> HttpClientConnection | None:
         """Return the most recently used idle connection that is still usable, or None."""
         waiting = self.idle.get(endpoint.name, [])
         while waiting:
@@ -196,8 +200,8 @@
             idle.caller.stream.abort()
         return None
 
-    def _keep_idle(self, endpoint: Endpoint, caller: HttpCaller) -> None:
-        if not self.exchange.table.listed(endpoint.name):
+    def _keep_idle(self, endpoint: Endpoint, caller: HttpClientConnection) -> None:
+        if not self.exchange.endpoint_list.accepts_calls(endpoint.name):
             # No new calls go to an endpoint that drains or is removed: release the connection.
             caller.stream.abort()
             return
--- a/rowanrack/net/rare_log.py
+++ b/rowanrack/net/rate_limited_log.py
@@ -9,7 +9,7 @@
 WARNING_INTERVAL_S = 10.0
 
 
-class RareLog:
+class RateLimitedLog:
     """Writes at most one warning per interval; the next one says how many were suppressed.
 
     This limits the size of the log and the time spent on it when peers misbehave as fast as they can.
--- a/rowanrack/net/stream.py
+++ b/rowanrack/net/stream.py
@@ -39,7 +39,7 @@
 
 
 class Stream:
-    """A connection. `fill` reads into `inward`; `send` writes through `send_buffer` to the kernel."""
+    """A connection. `fill` reads into `receive_buffer`; `send` writes through `send_buffer` to the kernel."""
 
     def __init__(
         self, reader: CountingReader, writer: asyncio.StreamWriter, buffer_limit: int = MAX_BUFFER_BYTES
@@ -47,7 +47,7 @@
         self._reader, self._writer = reader, writer
         self._read_bytes = 0
         self._unbuffered_bytes = 0  # bytes of the current `send` that are in no buffer yet
-        self.inward, self.send_buffer = RingBuffer(buffer_limit), RingBuffer(buffer_limit)
+        self.receive_buffer, self.send_buffer = RingBuffer(buffer_limit), RingBuffer(buffer_limit)
         # `drain` then returns only when the kernel has every byte: proof that a call was written completely.
         writer.transport.set_write_buffer_limits(high=0)
 
@@ -62,11 +62,11 @@
     @property
     def unread(self) -> bool:
         """Whether there is unread input, even if it is still in the kernel."""
-        return bool(len(self.inward)) or self.unread_beyond_buffer
+        return bool(len(self.receive_buffer)) or self.unread_beyond_buffer
 
     @property
     def unread_beyond_buffer(self) -> bool:
-        """Whether there is unread input that is not in the inward buffer yet."""
+        """Whether there is unread input that is not in the receive buffer yet."""
         if self._reader.received_bytes > self._read_bytes:
             return True
         sock = self._writer.get_extra_info("socket")
@@ -77,10 +77,10 @@
         return bool(poll.poll(0))
 
     async def fill(self) -> bool:
-        """Wait for more bytes in the inward buffer; return False at the end of the stream."""
-        data = await self._reader.read(min(READ_CHUNK_BYTES, self.inward.room))
+        """Wait for more bytes in the receive buffer; return False at the end of the stream."""
+        data = await self._reader.read(min(READ_CHUNK_BYTES, self.receive_buffer.room))
         self._read_bytes += len(data)
-        self.inward.write(data)
+        self.receive_buffer.write(data)
         return bool(data)
 
     async def discard_input(self) -> int:
@@ -94,7 +94,7 @@
         """Whether any byte has been received."""
         return self._reader.received_bytes > 0
 
-    async def fill_quietly(self) -> None:
+    async def wait_for_input(self) -> None:
         """Wait until anything arrives or the stream ends, also by an error."""
         with suppress(OSError):
             await self.fill()
--- a/rowanrack/record/recorder.py
+++ b/rowanrack/record/recorder.py
@@ -18,7 +18,7 @@
 
 from rowanrack.core.exchange import Exchange
 from rowanrack.core.messages import Attempt, End, Endpoint, Message, Refusal
-from rowanrack.net.rare_log import RareLog
+from rowanrack.net.rate_limited_log import RateLimitedLog
 from rowanrack.record.format import (
     BLOCK_OVERHEAD_BYTES,
     FILE_HEADER,
@@ -38,7 +38,7 @@
 from rowanspindle import Effect, EndpointStatus, Result
 
 log = logging.getLogger(__name__)
-rate_limited = RareLog(log)
+rate_limited = RateLimitedLog(log)
 
 FLUSH_US = 1_000_000  # interval at which records are passed to the thread
 MAX_PENDING_RECORD_COUNT = 2_000  # passes records on before the interval is over
@@ -174,7 +174,7 @@
 
     def start(self) -> None:
         """Start observing the exchange. Call this before it owns its first message."""
-        self.exchange.observe(self)
+        self.exchange.add_observer(self)
         self.disk.start()
         self._pending += self._opening_records()
         self._schedule_flush()
@@ -199,7 +199,10 @@
             settings.slots, settings.most_held, settings.try_limit, self.exchange.wheel.tick_us,
             settings.cold_share, settings.ramp_us, settings.overload_factor, settings.fall_us,
         )  # fmt: skip
-        return [begins, *(self._listed(now, endpoint) for endpoint in self.exchange.table.instances())]
+        return [
+            begins,
+            *(self._listed(now, endpoint) for endpoint in self.exchange.endpoint_list.endpoints()),
+        ]
 
     @staticmethod
     def _listed(now: int, endpoint: Endpoint) -> Listed:
@@ -217,7 +220,7 @@
         """Pass the pending records to the writer thread."""
         if self.disk.failed:
             self._pending.clear()
-            self.exchange.unobserve(self)
+            self.exchange.remove_observer(self)
             return
         dropped = self.disk.dropped
         self._lost_count += dropped - self._dropped_seen
@@ -244,7 +247,7 @@
 
     def close(self) -> None:
         """Stop observing, and write what is pending."""
-        self.exchange.unobserve(self)
+        self.exchange.remove_observer(self)
         self.flush()
         self.disk.close()
 
@@ -260,7 +263,7 @@
         self._add(Taken(self._clock.now_us(), message.ref, message.cls, message.tenant, message.dest, left_us,
                         len(message.body)))  # fmt: skip
 
-    def turned_away(self, message: Message | None, refusal: Refusal) -> None:
+    def refused(self, message: Message | None, refusal: Refusal) -> None:
         """Record a refused message, which is None if it was refused before it was read."""
         now = self._clock.now_us()
         if message is None:
@@ -269,7 +272,7 @@
         time_left_us = max(0, message.deadline_us - self._clock.unix_us())
         self._add(Turned(now, message.cls, message.tenant, message.dest, time_left_us, refusal.retry_us))
 
-    def listed(self, news: list[Endpoint], gone: list[str]) -> None:
+    def list_changed(self, news: list[Endpoint], gone: list[str]) -> None:
         """Record added, changed and removed endpoints."""
         now = self._clock.now_us()
         for endpoint in news:
@@ -294,6 +297,6 @@
         self._add(Ended(self._clock.now_us(), message.ref, end.ending.value, end.retry_us))
 
 
-def recorder(name: str, exchange: Exchange, folder: Path, most_bytes: int) -> Recorder:
+def create_recorder(name: str, exchange: Exchange, folder: Path, most_bytes: int) -> Recorder:
     """Create a recorder that writes at most `most_bytes` into a folder."""
     return Recorder(name, exchange, RecordingWriter(folder, name, most_bytes))
--- a/rowanrack/store/bans.py
+++ b/rowanrack/store/bans.py
@@ -9,7 +9,7 @@
 import logging
 from pathlib import Path
 
-from rowanrack.store.whole_file import FileVersion, file_version, replace_file
+from rowanrack.store.atomic_file import FileVersion, file_version, replace_file
 
 log = logging.getLogger(__name__)
 
@@ -17,7 +17,7 @@
 NEVER_READ: FileVersion = (-1, -1, -1)
 
 
-class BanFile:
+class DetachedEndpointFile:
     """The set of detached endpoints in the state folder; it is read again when another process changes it."""
 
     def __init__(self, folder: Path) -> None:
--- a/rowanrack/store/journal.py
+++ b/rowanrack/store/journal.py
@@ -52,7 +52,7 @@
 
 TAKEN, BEGUN, NEVER_RAN, ENDED, TOLD = b"T", b"B", b"N", b"E", b"K"
 TAKEN_WITH_KEY = b"Y"  # a message without a key uses `TAKEN`, the record type of older versions
-ENDING_CODES = {Ending.DELIVERED: b"d", Ending.REFUSED: b"r", Ending.FAILED: b"f", Ending.OVER: b"o"}
+ENDING_CODES = {Ending.DELIVERED: b"d", Ending.REFUSED: b"r", Ending.FAILED: b"f", Ending.WITHDRAWN: b"o"}
 ENDINGS_BY_CODE = {code: ending for ending, code in ENDING_CODES.items()}
 
 
@@ -137,7 +137,7 @@
     told: bool = False
 
     @property
-    def untold(self) -> bool:
+    def notice_pending(self) -> bool:
         """Whether its notice is required and not yet confirmed."""
         return not self.told and self.end.ending in (Ending.REFUSED, Ending.FAILED)
 
@@ -161,7 +161,7 @@
     budget: int
     unix_us: Callable[[], int]
     keep_us: int = 30_000_000  # how long an end is kept after its message's deadline
-    keep_us_of: Mapping[str, int] = field(default_factory=dict)  # overrides of `keep_us` by front
+    retention_us_by_front: Mapping[str, int] = field(default_factory=dict)  # overrides of `keep_us` by front
     attempts: int = 6  # most attempts of one message
     owed: dict[str, Message] = field(default_factory=dict)
     ends: dict[str, RecordedEnd] = field(default_factory=dict)
@@ -176,11 +176,11 @@
     )  # ids by the span in which their end expires
     slot: str = SLOT_NAMES[0]
     lock_fd: int = -1
-    absorbed: list[str] = field(default_factory=list)  # ids of the ends taken over from the other slot
+    ends_taken_over: list[str] = field(default_factory=list)  # ids of the ends taken over from the other slot
     _taken_over: list[Message] = field(default_factory=list)  # recorded here; their old file still exists
     _unwritten: deque[bytes] = field(default_factory=deque)
     _write_failed: bool = False  # the last write failed
-    trouble: str = ""  # why no new messages are accepted; empty if they are
+    write_error: str = ""  # why no new messages are accepted; empty if they are
     _trouble_since_us: int = 0
     _needed_bytes: int = RESERVATION_BYTES  # free space required before messages are accepted again
     _compaction_retry_us: int = 0  # earliest time of the next compaction after a failed one; 0 if none failed
@@ -224,7 +224,8 @@
     def _free_slot(self) -> tuple[str, int]:
         """Lock a free slot and return it with the lock's descriptor.
 
-        Tries repeatedly, because `shared` and `absorb` of another process briefly lock a free slot.
+        Tries repeatedly, because `other_process_running` and `take_over` of another process briefly lock a
+        free slot.
         """
         for _ in range(OPEN_TRY_COUNT):
             for slot in SLOT_NAMES:
@@ -233,7 +234,7 @@
             time.sleep(OPEN_PAUSE_S)
         raise JournalError("journal: two processes already use this folder")
 
-    def shared(self) -> bool:
+    def other_process_running(self) -> bool:
         """Return whether another process uses the other slot, as during a hot restart."""
         try:
             fd = self._lock(self.other_slot)
@@ -284,7 +285,7 @@
             os.close(self.lock_fd)
             self.lock_fd = -1
 
-    def absorb(self) -> list[Message] | None:
+    def take_over(self) -> list[Message] | None:
         """Take over the other slot's journal once its process has ended.
 
         Returns the messages that are now owed here, or None if the caller has to try again later. Messages
@@ -331,7 +332,9 @@
 
         If this raises OSError, nothing was recorded.
         """
-        other = Journal(self.folder, self.budget, self.unix_us, self.keep_us, self.keep_us_of, self.attempts)
+        other = Journal(
+            self.folder, self.budget, self.unix_us, self.keep_us, self.retention_us_by_front, self.attempts
+        )
         other._replay(data)
         owed = [message for i, message in other.owed.items() if i not in self.owed and i not in self.ends]
         ends = {i: e for i, e in other.ends.items() if i not in self.owed and i not in self.ends}
@@ -342,17 +345,17 @@
             return
         record, compacted = b"".join(records), sum(other._byte_counts[message.id][0] for message in owed)
         compacted += sum(other._byte_counts[i][0] for i in ends)
-        if not self.recording() or not self._make_room(len(record), compacted, other.pending_bytes):
-            raise OSError(self.trouble or "no space in the journal")
+        if not self.can_record() or not self._make_room(len(record), compacted, other.pending_bytes):
+            raise OSError(self.write_error or "no space in the journal")
         if not self._reserve(len(record) + other.pending_bytes) or not self._append(record):
-            raise OSError(self.trouble)
+            raise OSError(self.write_error)
         for message in owed:
             self._taken_over.append(message)
             self.owed[message.id] = message
             self._set_byte_counts(message.id, *other._byte_counts[message.id])
         for message_id, ended in ends.items():
             self.ends[message_id] = ended
-            self.absorbed.append(message_id)
+            self.ends_taken_over.append(message_id)
             self._schedule_expiry(message_id, ended)
             self._set_byte_counts(message_id, *other._byte_counts[message_id])
 
@@ -373,21 +376,21 @@
 
     # The exchange's `Store`.
 
-    def recording(self) -> bool:
+    def can_record(self) -> bool:
         """Return whether new messages are accepted. After a write error, each call checks for disk space."""
-        if not self.trouble:
+        if not self.write_error:
             return True
         budget_nearly_used = (
             2 * (self.size + self.pending_bytes + self._needed_bytes) + BUDGET_MARGIN_BYTES > self.budget
         )
-        if self.behind() or not self._reserve(0 if budget_nearly_used else self._needed_bytes):
+        if self.has_unwritten_records() or not self._reserve(0 if budget_nearly_used else self._needed_bytes):
             return False
         lasted_s = (self.unix_us() - self._trouble_since_us) / 1_000_000
         log.warning("journal: the disk has room again after %.1f s, accepting messages", lasted_s)
-        self.trouble, self._needed_bytes = "", RESERVATION_BYTES
+        self.write_error, self._needed_bytes = "", RESERVATION_BYTES
         return True
 
-    def behind(self) -> bool:
+    def has_unwritten_records(self) -> bool:
         """Return whether records still cannot be written, so that no attempt may begin.
 
         Tries to write them.
@@ -405,7 +408,7 @@
 
     def take(self, message: Message) -> bool:
         """Record an accepted message; return False if there is no space for it, its attempts and its end."""
-        if self.trouble and not self.recording():
+        if self.write_error and not self.can_record():
             return False
         record = encode_record(encode_taken(message))
         pending = self._pending_bytes_of(message)
@@ -436,7 +439,7 @@
     def end(self, message: Message, end: End) -> None:
         """Record the final end of a message."""
         now = self.unix_us()
-        keep_us = self.keep_us_of.get(message.front, self.keep_us)
+        keep_us = self.retention_us_by_front.get(message.front, self.keep_us)
         keep_until_us, resubmit_at_us = max(message.deadline_us, now) + keep_us, now + end.retry_us
         self.owed.pop(message.id, None)
         ended = self.ends[message.id] = RecordedEnd(end, message.front, keep_until_us, resubmit_at_us)
@@ -447,9 +450,9 @@
         record = encode_record(ended.encode(message.id))
         self._write_or_queue(record)
         told_bytes = STATUS_RECORD_BYTES + len(message.id)
-        self._set_byte_counts(message.id, len(record) + told_bytes, ended.untold * told_bytes)
+        self._set_byte_counts(message.id, len(record) + told_bytes, ended.notice_pending * told_bytes)
 
-    def told(self, message_id: str) -> None:
+    def confirm_notice(self, message_id: str) -> None:
         """Record that the platform has confirmed the notice of a message's end."""
         if (ended := self.ends.get(message_id)) is not None and not ended.told:
             ended.told = True
@@ -470,7 +473,7 @@
 
         An end whose notice is not confirmed is kept longer, so that a restart can send the notice again.
         """
-        expires_at_us = ended.keep_until_us + ended.untold * self.keep_us
+        expires_at_us = ended.keep_until_us + ended.notice_pending * self.keep_us
         self._expiry_spans.setdefault(expires_at_us // EXPIRY_SPAN_US, []).append(message_id)
 
     def _forget_expired_ends(self) -> None:
@@ -480,7 +483,7 @@
             for message_id in self._expiry_spans.pop(span):
                 if (ended := self.ends.get(message_id)) is None:
                     continue  # the id was submitted again
-                if now >= ended.keep_until_us + ended.untold * self.keep_us:
+                if now >= ended.keep_until_us + ended.notice_pending * self.keep_us:
                     del self.ends[message_id]
                     self._set_byte_counts(message_id, 0, 0)
                 else:
@@ -586,9 +589,9 @@
     def _handle_write_error(self, error: OSError, wanted_bytes: int = 0) -> None:
         """Stop accepting messages until `wanted_bytes` can be reserved; log the first error of a series."""
         self._needed_bytes = max(self._needed_bytes, wanted_bytes)
-        if not self.trouble:
-            self.trouble, self._trouble_since_us = error.strerror or str(error), self.unix_us()
-            log.error("journal: cannot write, no new messages are accepted: %s", self.trouble)
+        if not self.write_error:
+            self.write_error, self._trouble_since_us = error.strerror or str(error), self.unix_us()
+            log.error("journal: cannot write, no new messages are accepted: %s", self.write_error)
 
     def _write_or_queue(self, record: bytes) -> None:
         """Write the record of something that has already happened, or queue it if the write fails."""
@@ -707,7 +710,7 @@
             self._set_byte_counts(
                 message_id,
                 len(encode_record(ended.encode(message_id))) + status_bytes,
-                ended.untold * status_bytes,
+                ended.notice_pending * status_bytes,
             )
         self._forget_expired_ends()
         return end
@@ -752,6 +755,6 @@
         else:
             raise ValueError(f"unknown record type {kind!r}")
 
-    def untold(self, front: str) -> list[tuple[str, End]]:
+    def unconfirmed_notices(self, front: str) -> list[tuple[str, End]]:
         """Return a front's refused and failed messages whose notice is not yet confirmed."""
-        return [(i, e.end) for i, e in self.ends.items() if e.untold and e.front == front]
+        return [(i, e.end) for i, e in self.ends.items() if e.notice_pending and e.front == front]
--- a/rowanrack/store/memory.py
+++ b/rowanrack/store/memory.py
@@ -20,7 +20,10 @@
 
     def copy(self) -> MessageState:
         """Return a copy for one process."""
-        owed = {i: replace(m, unsettled=dict(m.unsettled), out={}, guard=None) for i, m in self.owed.items()}
+        owed = {
+            i: replace(m, unsettled=dict(m.unsettled), attempts_out={}, guard_timer=None)
+            for i, m in self.owed.items()
+        }
         return MessageState(owed, dict(self.ends), set(self.told))
 
     def take(self, message: Message) -> None:
@@ -59,11 +62,11 @@
         """The messages that are owed an end, by id."""
         return self.current.owed
 
-    def recording(self) -> bool:
+    def can_record(self) -> bool:
         """Return whether new records can be written and none is waiting."""
-        return not self.behind() and not self.durable.full
+        return not self.has_unwritten_records() and not self.durable.full
 
-    def behind(self) -> bool:
+    def has_unwritten_records(self) -> bool:
         """Write waiting records if there is room; return whether any still wait."""
         while self._unwritten and not self.durable.full:
             self._unwritten.popleft()(self.durable)
@@ -71,15 +74,15 @@
 
     def take(self, message: Message) -> bool:
         """Record an accepted message; return False if there is no room."""
-        if not self.recording():
+        if not self.can_record():
             return False
         self.current.take(message)
-        self.durable.take(replace(message, unsettled={}, out={}, guard=None))
+        self.durable.take(replace(message, unsettled={}, attempts_out={}, guard_timer=None))
         return True
 
     def begin(self, message: Message, attempt_number: int) -> bool:
         """Record that an attempt is about to begin, with its time if the message has a key."""
-        if not self.recording():
+        if not self.can_record():
             return False
         self.durable.begin(message.id, attempt_number, self.unix_us() if message.key else 0)
         return True
@@ -92,7 +95,7 @@
         """Record the final end of a message."""
         self._apply(lambda state: state.end(message, end))
 
-    def told(self, message_id: str) -> None:
+    def confirm_notice(self, message_id: str) -> None:
         """Record that the notice of a message's end was confirmed."""
         self._apply(lambda state: state.told.add(message_id))
 
@@ -100,7 +103,7 @@
         """Return the recorded end of a message."""
         return self.current.ends.get(message_id, ("", None))[1]
 
-    def untold(self, front: str) -> list[tuple[str, End]]:
+    def unconfirmed_notices(self, front: str) -> list[tuple[str, End]]:
         """Return a front's refused and failed messages whose notice is not yet confirmed."""
         ends = (
             (i, e) for i, (f, e) in self.current.ends.items() if f == front and i not in self.current.told
@@ -110,4 +113,4 @@
     def _apply(self, change: Callable[[MessageState], None]) -> None:
         change(self.current)
         self._unwritten.append(change)
-        self.behind()
+        self.has_unwritten_records()
--- a/rowanrack/store/outages.py
+++ b/rowanrack/store/outages.py
@@ -10,7 +10,7 @@
 import logging
 from pathlib import Path
 
-from rowanrack.store.whole_file import replace_file
+from rowanrack.store.atomic_file import replace_file
 from rowanspindle import Outage
 
 log = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
             return ()
         return outages if recent else ()
 
-    def keep(self, outages: tuple[Outage, ...], now_us: int) -> None:
+    def write_if_changed(self, outages: tuple[Outage, ...], now_us: int) -> None:
         """Write the outages if they changed or the last write is too old. A failed write is retried later."""
         outages = outages[-MAX_OUTAGE_COUNT:]
         rewrite_due = bool(outages) and now_us - self._written_at_us >= REWRITE_INTERVAL_US
--- a/rowanspindle/api.py
+++ b/rowanspindle/api.py
@@ -165,7 +165,7 @@
     ref: int
     cls: str
     dest: int
-    left_us: int
+    time_left_us: int
     tenant: str | None = None
     key: str | None = None
     attempts_made: int = 0  # attempts already made; the next attempt has this number
@@ -185,8 +185,8 @@
     latency_us: int
     message_ended: bool
     wait_us: int = 0
-    left: float | None = None
-    limit: float | None = None
+    remaining_share: float | None = None
+    reported_limit: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -261,10 +261,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: the message was not delivered, and the client may safely retry after `come_back_us`."""
+    """Final answer: the message was not delivered, and the client may safely retry after `retry_after_us`."""
 
     ref: int
-    come_back_us: int
+    retry_after_us: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/rowanspindle/connection_reuse.py
+++ b/rowanspindle/connection_reuse.py
@@ -11,14 +11,15 @@
 from collections import defaultdict
 
 from rowanspindle.api import Settings
-from rowanspindle.gossip import MAX_SENDERS_ALL_TELL
+from rowanspindle.gossip import MAX_SENDERS_ALL_REPORT
 
 SECOND_US = 1_000_000
 # A connection is closed after its answer if fewer calls than this are expected within its idle limit.
 MIN_EXPECTED_CALLS_COUNT = 3.0
 IDLE_LIMIT_GROWTH_FACTOR = 1.005  # applied to the idle limit on each answer
 IDLE_LIMIT_CUT_FACTOR = 0.7  # applied to the idle time of a connection that was silently dropped
-LEAST_US = 500_000  # after a shorter idle time, a failure is attributed to the endpoint, not the connection
+# After a shorter idle time, a failure is attributed to the endpoint, not the connection.
+MIN_IDLE_LIMIT_US = 500_000
 SHORTAGE_SENDERS_COUNT = 8  # fewer senders with one connection each rarely fill a connection table
 OWN_SHORTAGE_US = 60_000_000  # duration of a shortage of connections that a refusal of an own call showed
 REPORTED_SHORTAGE_US = 10_000_000  # duration of a shortage that another sender reported
@@ -52,7 +53,7 @@
         self._max_idle_us, self._single_stream = settings.keepalive_us, settings.streams_per_conn == 1
         self._may_fill_tables = settings.replicas >= SHORTAGE_SENDERS_COUNT
         # In a large fleet, one connection per sender fills any connection table.
-        self._large_fleet = settings.replicas > MAX_SENDERS_ALL_TELL
+        self._large_fleet = settings.replicas > MAX_SENDERS_ALL_REPORT
         self.idle_limit_us: defaultdict[str, float] = defaultdict(lambda: float(self._max_idle_us))
         self._new_rates: defaultdict[str, RefusalRate] = defaultdict(RefusalRate)
         self._reused_rates: defaultdict[str, RefusalRate] = defaultdict(
@@ -91,7 +92,7 @@
         idle_limit_us = (
             self.idle_limit_us[kind] if idle_us is None else min(self.idle_limit_us[kind], idle_us)
         )
-        self.idle_limit_us[kind] = max(LEAST_US, idle_limit_us * IDLE_LIMIT_CUT_FACTOR)
+        self.idle_limit_us[kind] = max(MIN_IDLE_LIMIT_US, idle_limit_us * IDLE_LIMIT_CUT_FACTOR)
 
     def is_rarely_reused(self, kind: str, calls_per_s: float, now: int) -> bool:
         """Return whether an idle connection to this kind is unlikely to be reused within its idle limit.
@@ -105,5 +106,5 @@
         """
         short = self._large_fleet or now < self._short_until.get(kind, 0)
         in_doubt = self._large_fleet or self.idle_limit_us[kind] < self._max_idle_us or self._single_stream
-        usable_us = LEAST_US if short else self.idle_limit_us[kind]
+        usable_us = MIN_IDLE_LIMIT_US if short else self.idle_limit_us[kind]
         return in_doubt and calls_per_s * usable_us < MIN_EXPECTED_CALLS_COUNT * SECOND_US
--- a/rowanspindle/data_structures.py
+++ b/rowanspindle/data_structures.py
@@ -223,7 +223,7 @@
         self.deviation += self._weight * (abs(value - self.mean) - self.deviation)
         self.mean += self._weight * (value - self.mean)
 
-    def error(self) -> float:
+    def standard_error(self) -> float:
         """Return the standard error of the mean, estimated from the deviation."""
         later_values = (1 - self._first_weight) * self._weight / (2 - self._weight)
         return self.deviation * math.sqrt(math.pi / 2 * (self._first_weight + later_values))
@@ -236,13 +236,13 @@
     """
 
     def __init__(self, start: float, max_size: float, floor: float, cut: float) -> None:
-        self.size, self.most, self.cut_at = min(start, max_size), max_size, -1
+        self.size, self.max_size, self.cut_at = min(start, max_size), max_size, -1
         self._floor, self._cut = floor, cut
 
     def grow(self, in_flight: int) -> None:
         """Increase the window, but only if at least half of it was in use."""
         if in_flight + 1 >= self.size / 2:
-            self.size = min(self.most, self.size + 1 / self.size)
+            self.size = min(self.max_size, self.size + 1 / self.size)
 
     def cut(self, now: int, sent_at: int) -> None:
         """Decrease the window, unless the failed call was sent before the last decrease."""
@@ -269,7 +269,7 @@
     """A rate estimated from events with exponential decay; the initial rate counts as `weight` events."""
 
     def __init__(self, now: int, memory_s: float, weight: float) -> None:
-        self.count, self.span_s, self.at = 0.0, 0.0, now
+        self.count, self.span_s, self.updated_at = 0.0, 0.0, now
         self._memory_s, self._weight = memory_s, weight
 
     def rate(self, now: int, initial_rate: float) -> float:
@@ -277,7 +277,7 @@
 
         A rate that is always read just after an event would be too high.
         """
-        elapsed_s = max(0, now - self.at) / 1_000_000
+        elapsed_s = max(0, now - self.updated_at) / 1_000_000
         decay = math.exp(-elapsed_s / self._memory_s)
-        self.count, self.span_s, self.at = self.count * decay, self.span_s * decay + elapsed_s, now
+        self.count, self.span_s, self.updated_at = self.count * decay, self.span_s * decay + elapsed_s, now
         return (self.count + self._weight) / (self.span_s + self._weight / initial_rate)
--- a/rowanspindle/endpoint.py
+++ b/rowanspindle/endpoint.py
@@ -7,7 +7,7 @@
 from rowanspindle import pacing
 from rowanspindle.api import EndpointEntry, Settings
 from rowanspindle.data_structures import ConcurrencyWindow, RunningMean
-from rowanspindle.held_messages import NEVER
+from rowanspindle.held_messages import NEVER_US
 from rowanspindle.pacing import SharedLimit
 from rowanspindle.slow_start import OutageState
 from rowanspindle.state import Call
@@ -56,26 +56,27 @@
         super().__init__(settings)
         self.target, self.zone, self.dest, self.kind = entry.target, entry.zone, entry.dest, entry.kind
         self.shared_limit, self.settings = limit, settings
-        self.turn, self.share = turn, 1.0  # endpoints of equal rank take turns in proportion to their shares
+        # Endpoints of equal rank take turns in proportion to their shares.
+        self.next_turn, self.call_share = turn, 1.0
         self.listed, self.preferred = True, preferred  # preferred: chosen at random to be called first
         self.window = ConcurrencyWindow(
-            limit.window.size, limit.window.most, pacing.WINDOW_FLOOR_CALLS, pacing.WINDOW_CUT_FACTOR
+            limit.window.size, limit.window.max_size, pacing.WINDOW_FLOOR_CALLS, pacing.WINDOW_CUT_FACTOR
         )
         self.calls: list[Call[Endpoint]] = []
         self.failures, self.failed_at, self.consecutive_failures, self.first_failure_at = 0.0, 0, 0, 0
-        self.usual = RunningMean(SMOOTHING)
+        self.answer_time = RunningMean(SMOOTHING)
         self.idle: list[int] = []  # when each idle connection became idle
         self.answered_at = 0
         self.min_silence_us = SILENCE_AIM_FACTOR * min(c.aim_us for c in settings.classes.values())
 
     @property
-    def stride(self) -> float:
+    def turn_interval(self) -> float:
         """Distance between two turns: an endpoint with half the share has half as many turns."""
-        return 1 / (self.share or 1.0)
+        return 1 / (self.call_share or 1.0)
 
     def even_rate(self) -> float:
         """Return an even share of the destination's rate, in calls per second of all senders."""
-        return self.shared_limit.weight / max(1, self.shared_limit.routes)
+        return self.shared_limit.rate / max(1, self.shared_limit.endpoint_count)
 
     def rank(self, now: int, extra: bool = False) -> float:
         """Return Dialogue's balanced score, the lower the better, with a preference for warm connections.
@@ -93,7 +94,7 @@
 
     def latency(self, now: int) -> float:
         """Return the mean answer time, or the age of the oldest call in flight if that is longer."""
-        return max(self.usual.mean, float(now - self.calls[0].sent_at) if self.calls else 0.0)
+        return max(self.answer_time.mean, float(now - self.calls[0].sent_at) if self.calls else 0.0)
 
     def shares_connection(self) -> bool:
         """Return whether a connection in use has room for the next call."""
@@ -101,14 +102,16 @@
 
     def silence_us(self) -> float:
         """Return how long a call may stay unanswered before that is a symptom of an outage."""
-        mean = self.usual.mean
-        typical = max(mean * SILENCE_MEAN_FACTOR, mean + SILENCE_DEVIATION_FACTOR * self.usual.deviation)
+        mean = self.answer_time.mean
+        typical = max(
+            mean * SILENCE_MEAN_FACTOR, mean + SILENCE_DEVIATION_FACTOR * self.answer_time.deviation
+        )
         return max(self.min_silence_us, typical) if typical else self.min_silence_us / SILENCE_AIM_FACTOR
 
     def silence_due_at(self) -> int:
         """Return when silence becomes a symptom; later for a single call, which may just take long."""
         if not self.calls or self.answered_at > self.calls[0].sent_at:
-            return NEVER
+            return NEVER_US
         factor = SINGLE_CALL_SILENCE_FACTOR if len(self.calls) == 1 else 1.0
         return self.calls[0].sent_at + math.ceil(self.silence_us() * factor)
 
@@ -123,4 +126,4 @@
     def record_success(self, now: int, latency: int) -> None:
         """Record an answered call and its answer time."""
         self.consecutive_failures, self.answered_at = 0, now
-        self.usual.add(latency)
+        self.answer_time.add(latency)
--- a/rowanspindle/gossip.py
+++ b/rowanspindle/gossip.py
@@ -11,7 +11,7 @@
 
 from rowanspindle.api import BroadcastNote, Settings
 from rowanspindle.data_structures import DeadlineQueue
-from rowanspindle.held_messages import NEVER
+from rowanspindle.held_messages import NEVER_US
 from rowanspindle.notes import (
     HEADER_BYTES,
     MAX_NOTE_BYTES,
@@ -39,13 +39,13 @@
 SHORTAGE_REPEAT_US = 5_000_000  # interval between reports of a shortage of connections
 WAIT_UNIT_US = 10_000  # the unit of retry-after waits in notes
 # Up to this many senders all report their held messages: receiving all reports is still affordable.
-MAX_SENDERS_ALL_TELL = 64
+MAX_SENDERS_ALL_REPORT = 64
 # Among more senders a random subset reports; this is its mean size. The other senders are assumed to hold
 # as many messages on average as those of the subset.
 MEAN_REPORTERS_COUNT = 16
 # The estimate from the age of the own messages counts with the weight of this many reporters in that average.
 ESTIMATE_WEIGHT_COUNT = 8.0
-# Among more senders than MAX_SENDERS_ALL_TELL, the part of the budget for urgent facts, which all report.
+# Among more senders than MAX_SENDERS_ALL_REPORT, the part of the budget for urgent facts, which all report.
 URGENT_BUDGET_FRACTION = 0.5
 STALE_DISTANCE = SEQUENCE_NUMBERS // 2  # from this distance on, a sequence number belongs to an older note
 LOSS_DECAY_FACTOR = 0.98  # weight kept by earlier notes, per new note, in the estimate of the loss rate
@@ -68,7 +68,7 @@
     def __init__(self, settings: Settings, random_draw: float = 0.0) -> None:
         self._peer_count = peers = settings.replicas - 1
         self._reporting_fraction = (
-            1.0 if settings.replicas <= MAX_SENDERS_ALL_TELL else MEAN_REPORTERS_COUNT / settings.replicas
+            1.0 if settings.replicas <= MAX_SENDERS_ALL_REPORT else MEAN_REPORTERS_COUNT / settings.replicas
         )
         self._reports_work = random_draw < self._reporting_fraction
         self.enabled = notes_enabled(settings)
@@ -95,7 +95,7 @@
         self._next_shortage_at: dict[int, int] = {}
         self._last_notes: dict[int, tuple[int, int]] = {}  # by peer: last sequence number, and when
         self._last_received_at: int | None = None
-        self._listening_since = NEVER  # when the first note since the start or a silence came
+        self._listening_since = NEVER_US  # when the first note since the start or a silence came
         self._notes_expected = self._notes_arrived = INITIAL_NOTES_COUNT  # recent notes, with decay
         # Messages held by the peers, by destination and peer, and their sums by destination.
         self._peer_work: defaultdict[int, dict[int, int]] = defaultdict(dict)
@@ -129,7 +129,7 @@
             return
         if connections_short and now >= self._next_shortage_at.get(dest, 0):
             self._next_shortage_at[dest] = now + SHORTAGE_REPEAT_US
-            self._urgent_facts[FactKind.SHORT, dest] = 0
+            self._urgent_facts[FactKind.CONNECTIONS_SHORT, dest] = 0
         elif not connections_short and (wait_us or not limit_known):
             self._urgent_facts[FactKind.REFUSED, dest] = min(
                 max(wait_us // WAIT_UNIT_US, int(wait_us > 0)), MAX_VALUE
@@ -138,7 +138,7 @@
     def record_recovery(self, target: str) -> None:
         """Record that an endpoint answers again after an outage."""
         if self.enabled:
-            self._urgent_facts[FactKind.BACK, endpoint_digest(target)] = 0
+            self._urgent_facts[FactKind.RECOVERED, endpoint_digest(target)] = 0
 
     # Sending.
 
@@ -158,7 +158,7 @@
             if size + (fact_bytes := len(encode_fact(fact))) <= max_bytes:
                 chosen.append(fact)
                 size += fact_bytes
-                if fact.kind is FactKind.WORK:
+                if fact.kind is FactKind.HELD_MESSAGES:
                     self._record_reported(fact.subject, fact.value, now)
         if not chosen:
             return []
@@ -170,7 +170,7 @@
     def _work_facts(self, now: int) -> list[Fact]:
         """Return the held messages to report: new or gone, doubled or halved, or due for a repeat."""
         self._next_work_at = now + self.work_interval_us
-        work = [Fact(FactKind.WORK, dest) for dest in self._reported if dest not in self._held]
+        work = [Fact(FactKind.HELD_MESSAGES, dest) for dest in self._reported if dest not in self._held]
         for dest, (held, since) in self._held.items():
             reported, last_at = self._reported.get(dest, (0, now))
             waited = now - since >= MIN_WORK_AGE_US
@@ -179,7 +179,7 @@
                 or not reported < 2 * held < 4 * reported
                 or now - last_at >= REFRESH_INTERVALS * self.work_interval_us
             ):
-                work.append(Fact(FactKind.WORK, dest, min(held, MAX_VALUE)))
+                work.append(Fact(FactKind.HELD_MESSAGES, dest, min(held, MAX_VALUE)))
         return work
 
     def _record_reported(self, dest: int, held: int, now: int) -> None:
@@ -189,9 +189,9 @@
         else:
             self._reported.pop(dest, None)
 
-    def next_at(self) -> int:
+    def next_report_at(self) -> int:
         """Return when held messages may have to be reported again."""
-        return self._next_work_at if self._held or self._reported else NEVER
+        return self._next_work_at if self._held or self._reported else NEVER_US
 
     # Receiving.
 
@@ -226,14 +226,14 @@
         self._last_received_at = now
         self.notes_received += 1
         for fact in note.facts:
-            if fact.kind is FactKind.WORK:
+            if fact.kind is FactKind.HELD_MESSAGES:
                 self._set_peer_work(fact.subject, peer, fact.value)
                 self._work_expiry.set(
                     (fact.subject, peer), now + WORK_EXPIRY_INTERVALS * self.work_interval_us
                 )
         return note.facts
 
-    def informed(self, now: int) -> bool:
+    def listened_long_enough(self, now: int) -> bool:
         """Return whether it has listened for long enough to have received a report of all held messages.
 
         Without this check, a sender that had just started and knew of few others used the whole call
--- a/rowanspindle/held_messages.py
+++ b/rowanspindle/held_messages.py
@@ -20,7 +20,7 @@
 
 RATE_MEMORY_S = 30.0  # time constant of measured rates: longer than an outage, shorter than a day
 INITIAL_RATE_WEIGHT = 0.5  # weight of the initial rate, in events, until events have been measured
-NEVER = 1 << 62  # microseconds; a time that no clock reaches
+NEVER_US = 1 << 62  # microseconds; a time that no clock reaches
 
 # The class, the factor on the value, the only zone allowed ("": any), and whether it is the message's turn.
 MessageGroup = tuple[MessageClass, float, str, bool]
@@ -32,9 +32,9 @@
     def __init__(self, event: Accept, cls: MessageClass, now: int, share: float) -> None:
         self.ref, self.cls, self.dest = event.ref, cls, event.dest
         self.key = event.key if cls.ordered else None
-        self.deadline = now + event.left_us
-        self.aim_at = self.deadline - cls.deadline_us + cls.aim_us
-        self.share, self.attempts_made, self.first_attempt_zone = share, event.attempts_made, ""
+        self.deadline = now + event.time_left_us
+        self.target_at = self.deadline - cls.deadline_us + cls.aim_us
+        self.value_factor, self.attempts_made, self.first_attempt_zone = share, event.attempts_made, ""
         self.accepted_at = now - event.waited_us
         self.attempts_out: set[int] = set()  # the numbers of its attempts in flight
         self.first_attempt_at: int | None = now - event.first_attempt_age_us if event.may_have_run else None
@@ -42,12 +42,14 @@
 
     def value(self, at: int, halves: bool) -> float:
         """Return the value of this message if it were delivered at that time."""
-        return 0.0 if at > self.deadline else self.share * self.cls.value_at(at - self.aim_at, halves)
+        return (
+            0.0 if at > self.deadline else self.value_factor * self.cls.value_at(at - self.target_at, halves)
+        )
 
     def group_for(self, in_turn: bool) -> MessageGroup:
         """Return its group. Value and urgency of the messages of a group differ by the deadline alone."""
         zone = self.first_attempt_zone if self.cls.same_zone and self.first_attempt_at is not None else ""
-        return self.cls, self.share, zone, in_turn
+        return self.cls, self.value_factor, zone, in_turn
 
 
 def urgency_breakpoints(cls: MessageClass, answer_at: int, drain_us: int, halves: bool) -> tuple[int, ...]:
@@ -74,9 +76,9 @@
 
     def __init__(self) -> None:
         self.waiting: deque[Message] = deque()
-        self.attempts_out = self.rest_until = 0
+        self.attempts_out = self.resting_until = 0
 
-    def in_turn(self, message: Message, now: int) -> bool:
+    def may_send(self, message: Message, now: int) -> bool:
         """Return whether a message may be sent: it is the first of its key and no attempt is in flight.
 
         The rest time of the key must have passed too, unless the message has been attempted before.
@@ -84,7 +86,7 @@
         return (
             self.waiting[0] is message
             and self.attempts_out == 0
-            and (message.attempts_made > 0 or now >= self.rest_until)
+            and (message.attempts_made > 0 or now >= self.resting_until)
         )
 
 
@@ -93,7 +95,7 @@
 
     def __init__(self) -> None:
         self.groups: dict[MessageGroup, TimeSortedList[Message]] = {}
-        self.since = NEVER  # when the oldest held message was accepted; NEVER without any
+        self.oldest_accepted_at = NEVER_US  # when the oldest held message was accepted; NEVER_US without any
         self._count = 0
 
     def __len__(self) -> int:
@@ -103,7 +105,7 @@
         """Add a message to a group."""
         self.groups.setdefault(group, TimeSortedList()).add(message.deadline, message.ref, message)
         message.group = group
-        self.since = min(self.since, message.accepted_at)
+        self.oldest_accepted_at = min(self.oldest_accepted_at, message.accepted_at)
         self._count += 1
 
     def remove(self, message: Message) -> None:
@@ -117,16 +119,16 @@
         message.group = None
         self._count -= 1
         if not self._count:
-            self.since = NEVER
+            self.oldest_accepted_at = NEVER_US
 
-    def move(self, message: Message, group: MessageGroup) -> bool:
+    def move_to_group(self, message: Message, group: MessageGroup) -> bool:
         """Move a held message to a group. Returns whether it is held and was in another group."""
         if message.group in (None, group):
             return False
-        since = self.since
+        since = self.oldest_accepted_at
         self.remove(message)
         self.add(message, group)
-        self.since = since
+        self.oldest_accepted_at = since
         return True
 
     def sendable(self) -> Iterator[tuple[MessageClass, str, TimeSortedList[Message]]]:
@@ -145,10 +147,10 @@
         self.endpoints: dict[str, EndpointT] = {}
         self.shared_limit: LimitT | None = None
         self.held = HeldMessages()
-        self.choice: tuple[float, Message, EndpointT] | None = (
+        self.pick: tuple[float, Message, EndpointT] | None = (
             None  # the last selection: urgency, message and endpoint
         )
-        self.opens_at = NEVER  # when the next endpoint that was closed opens
+        self.next_opening_at = NEVER_US  # when the next endpoint that was closed opens
         # The rate of own messages for this destination: its estimator and its last value per second.
-        self.message_rate, self.rate = RateEstimator(NEVER, RATE_MEMORY_S, INITIAL_RATE_WEIGHT), 0.0
+        self.message_rate, self.rate = RateEstimator(NEVER_US, RATE_MEMORY_S, INITIAL_RATE_WEIGHT), 0.0
         self.last_turn = 0.0  # the turn of the endpoint called last; the other endpoints have later ones
--- a/rowanspindle/logic.py
+++ b/rowanspindle/logic.py
@@ -32,11 +32,11 @@
     WatchEndpointList,
     Withdrawn,
 )
-from rowanspindle.connection_reuse import LEAST_US
+from rowanspindle.connection_reuse import MIN_IDLE_LIMIT_US
 from rowanspindle.data_structures import RunningMean
 from rowanspindle.endpoint import MANY_SENDERS, SMOOTHING, Endpoint, excess, is_window_full
 from rowanspindle.gossip import WAIT_UNIT_US
-from rowanspindle.held_messages import NEVER, DestinationState, KeyQueue, Message, urgency_breakpoints
+from rowanspindle.held_messages import NEVER_US, DestinationState, KeyQueue, Message, urgency_breakpoints
 from rowanspindle.notes import FactKind, endpoint_digest
 from rowanspindle.pacing import SharedLimit
 from rowanspindle.slow_start import MIN_TRIAL_INTERVAL_S
@@ -99,7 +99,7 @@
                 case Accept():
                     self.accept(event)
                 case Outcome():
-                    self.outcome(event)
+                    self.handle_outcome(event)
                 case EndpointListUpdate():
                     self.update_endpoint_list(event)
                 case NoteReceived():
@@ -109,9 +109,9 @@
                 case Withdrawn() if event.ref in self.messages:
                     self.end(self.messages[event.ref])
                 case TimerFired() if event.token == self.token:
-                    self.armed_at = NEVER
+                    self.armed_at = NEVER_US
         if now_us >= self.list_watch.next_request_at:
-            self.list_watch.next_request_at = NEVER
+            self.list_watch.next_request_at = NEVER_US
             self.actions.append(WatchEndpointList())
         self.detect_silence()
         for key in self.key_rests.due(now_us):
@@ -128,13 +128,13 @@
     def apply_note(self, event: NoteReceived) -> None:
         """Apply what another sender reports: it slows this sender down, or stands in for a trial call."""
         for kind, subject, value in self.gossip.receive(event.peer, event.note, self.now):
-            if kind is FactKind.BACK and (returned := self.endpoints_by_digest.get(subject)) is not None:
+            if kind is FactKind.RECOVERED and (returned := self.endpoints_by_digest.get(subject)) is not None:
                 awaited = returned.out_since is not None or returned.suspected
                 if awaited and self.now - returned.failed_at > value * WAIT_UNIT_US:
                     self.declare_recovered(returned, f"answered sender {event.peer}")
             destination = self.destinations[subject] if subject in self.destinations else Destination()
             for endpoint in destination.endpoints.values():
-                if kind is FactKind.SHORT:
+                if kind is FactKind.CONNECTIONS_SHORT:
                     self.connection_reuse.record_shortage(endpoint.kind, self.now)
                     self.answered |= {e: None for e in self.endpoints.values() if e.kind == endpoint.kind}
                 elif (
@@ -162,7 +162,7 @@
     def hold_message(self, message: Message) -> None:
         """Hold a message for its destination until it expires or may not be sent again."""
         destination = self.waiting[message.dest] = self.destinations[message.dest]
-        in_turn = message.key is None or self.keys[message.key].in_turn(message, self.now)
+        in_turn = message.key is None or self.keys[message.key].may_send(message, self.now)
         destination.held.add(message, message.group_for(in_turn))
         self.mark_changed(message.dest)
         expires_at = message.deadline
@@ -173,8 +173,8 @@
     def update_endpoint_list(self, event: EndpointListUpdate) -> None:
         """Apply an endpoint list update. Draining and removed endpoints get no new calls from now on."""
         if event.scope is UpdateScope.FAILED:
-            return self.actions.extend(map(LogLine, self.list_watch.failed(self.now, self.rng)))
-        self.actions += map(LogLine, self.list_watch.listed())
+            return self.actions.extend(map(LogLine, self.list_watch.record_failure(self.now, self.rng)))
+        self.actions += map(LogLine, self.list_watch.record_update())
         listed_targets = {m.target for m in event.entries}
         if event.scope is UpdateScope.FULL:
             for endpoint in list(self.endpoints.values()):
@@ -204,15 +204,15 @@
                 self.endpoints[entry.target] = destination.endpoints[entry.target] = endpoint
                 self.endpoints_by_digest[endpoint_digest(entry.target)] = endpoint
                 self.restore_outage(endpoint)
-                limit.routes += 1
+                limit.endpoint_count += 1
                 self.changed_lists.add(entry.dest)
             else:
                 known.listed = True
                 self.mark_changed(known.dest)
                 if not (known.shared_limit.rate_is_measured or known.shared_limit.reported_limit):
-                    known.shared_limit.weight = max(entry.weight, 0.1)
+                    known.shared_limit.rate = max(entry.weight, 0.1)
                 if self.unlisted.pop(known.target, None) is not None:
-                    known.shared_limit.routes += 1
+                    known.shared_limit.endpoint_count += 1
                     self.changed_lists.add(known.dest)
         priced = self.settings.zone and self.settings.crossing_price
         for state in (self.destinations[n] for n in self.changed_lists if priced and n in self.destinations):
@@ -233,13 +233,13 @@
         for endpoint in destination.endpoints.values():
             limit = endpoint.shared_limit
             if endpoint.out_since is not None or endpoint.ramp_from is not None:
-                limit.own.at = self.now
+                limit.own_rate.updated_at = self.now
             elif limit.rate_is_measured:
-                limit.weight = max(
-                    limit.own.rate(self.now, self.initial_rate()) * self.settings.replicas, 0.1
+                limit.rate = max(
+                    limit.own_rate.rate(self.now, self.initial_rate()) * self.settings.replicas, 0.1
                 )
 
-    def outcome(self, event: Outcome) -> None:
+    def handle_outcome(self, event: Outcome) -> None:
         """Handle the end of an attempt: evaluate its call once, then settle the message."""
         call, message = self.attempts.pop((event.ref, event.attempt_number), (None, None))
         if call is None or message is None:
@@ -248,8 +248,8 @@
         self.mark_changed(call.endpoint.dest)
         wait_until = self.now + event.wait_us + 1 if event.wait_us else 0  # may differ by message (h80106d)
         call.endpoint.shared_limit.opens_at = max(call.endpoint.shared_limit.opens_at, wait_until)
-        if event.limit:
-            call.endpoint.shared_limit.record_reported_limit(event.limit)
+        if event.reported_limit:
+            call.endpoint.shared_limit.record_reported_limit(event.reported_limit)
         if not call.learned_from:
             call.learned_from = True
             self.learn_from_call(call, event)
@@ -264,7 +264,7 @@
             if not (call.endpoint.listed or call.endpoint.calls):
                 self.removals.set(call.endpoint, self.now)
             if event.result in (Result.OK, Result.ERROR, Result.FULL):  # the connection stays open and idle
-                call.endpoint.idle = [*call.endpoint.idle[-int(call.endpoint.window.most) :], self.now]
+                call.endpoint.idle = [*call.endpoint.idle[-int(call.endpoint.window.max_size) :], self.now]
                 self.answered[call.endpoint] = None
         self.schedule_silence_check(call.endpoint)
         may_have_run = event.result not in (Result.OK, Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
@@ -275,8 +275,8 @@
             key_queue = self.keys[message.key]
             key_queue.attempts_out -= 1
             if event.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED) and self.settings.key_rest_us:
-                key_queue.rest_until = self.now + self.settings.key_rest_us
-                self.key_rests.set(message.key, key_queue.rest_until)
+                key_queue.resting_until = self.now + self.settings.key_rest_us
+                self.key_rests.set(message.key, key_queue.resting_until)
         if event.message_ended or event.result is Result.OK:
             self.end(message)
         elif message.ref in self.messages and not message.attempts_out:
@@ -302,13 +302,13 @@
     def learn_from_call(self, call: Call[Endpoint], event: Outcome) -> None:
         """Update the endpoint, its limit, both windows and the statistics from the result of a call."""
         endpoint, limit, kind, now = call.endpoint, call.endpoint.shared_limit, call.endpoint.kind, self.now
-        expected_calls = limit.weight / self.settings.replicas * OUTAGE_EVIDENCE_S  # of this sender
+        expected_calls = limit.rate / self.settings.replicas * OUTAGE_EVIDENCE_S  # of this sender
         if event.result in (Result.OK, Result.TIMEOUT):
             self.zone_times.setdefault(endpoint.zone, RunningMean(SMOOTHING)).add(event.latency_us)
         match event.result:
             case Result.OK:
                 limit.record_answer()
-                limit.own.count += endpoint.out_since is None and endpoint.ramp_from is None
+                limit.own_rate.count += endpoint.out_since is None and endpoint.ramp_from is None
                 self.connection_reuse.record_answer(kind, call.connects)
                 if endpoint.out_since is not None:
                     self.gossip.record_recovery(endpoint.target)
@@ -338,7 +338,7 @@
                     self.declare_outage(endpoint, "refuses all calls", now)
                 if endpoint.out_since is not None:
                     endpoint.failure_confirmed = True
-            case Result.TIMEOUT | Result.RESET if call.idle_us > LEAST_US and (
+            case Result.TIMEOUT | Result.RESET if call.idle_us > MIN_IDLE_LIMIT_US and (
                 expected_calls < 1 or endpoint.answered_at > call.sent_at
             ):
                 # A connection dropped while idle fails like this. It is assumed where others are answered or
@@ -430,7 +430,7 @@
     def share_text(self, endpoint: Endpoint) -> str:
         """Describe how many senders share the budget of a cold endpoint, and how that is known."""
         senders, from_gossip = self.active_senders(endpoint, self.now)
-        if not (from_gossip and self.gossip.informed(self.now)):
+        if not (from_gossip and self.gossip.listened_long_enough(self.now)):
             return f"budget shared evenly by {self.settings.replicas} senders"
         return f"budget shared with {senders - 1:.1f} of {self.settings.replicas - 1} others by gossip"
 
@@ -477,7 +477,7 @@
 
     def schedule_silence_check(self, endpoint: Endpoint) -> None:
         """Schedule the next silence check after a change of the calls or the answer times."""
-        if endpoint.out_since is None and (at := endpoint.silence_due_at()) < NEVER:
+        if endpoint.out_since is None and (at := endpoint.silence_due_at()) < NEVER_US:
             self.silences.set(endpoint, at)
         else:
             self.silences.drop(endpoint)
@@ -498,10 +498,10 @@
         """Return when an endpoint may be called. The only place that decides whether and when."""
         limit, now = endpoint.shared_limit, self.now
         if not endpoint.listed or limit.opens_at > now:
-            return limit.opens_at if endpoint.listed else NEVER
+            return limit.opens_at if endpoint.listed else NEVER_US
         if endpoint.out_since is not None:
-            if len(limit.calls) >= limit.window.most:
-                return NEVER
+            if len(limit.calls) >= limit.window.max_size:
+                return NEVER_US
             slots = self.settings.slots
             if len(self.calls) > slots * SCARCITY and len(self.trials) >= max(1, int(slots * TRIAL_SHARE)):
                 return max(self.now + int(MIN_TRIAL_INTERVAL_S * SECOND_US), endpoint.next_send(now, None))
@@ -511,9 +511,9 @@
             or (endpoint.suspected and endpoint.calls)
         ):
             overdue_times = (c.sent_at + int(c.endpoint.silence_us()) + 1 for c in limit.calls)
-            return min((at for at in overdue_times if at > now), default=NEVER)
-        count, known = self.active_senders(endpoint, self.destinations[endpoint.dest].held.since)
-        informed = known and self.gossip.informed(now)
+            return min((at for at in overdue_times if at > now), default=NEVER_US)
+        count, known = self.active_senders(endpoint, self.destinations[endpoint.dest].held.oldest_accepted_at)
+        informed = known and self.gossip.listened_long_enough(now)
         return max(limit.next_token(now, count, known), endpoint.next_send(now, count if informed else None))
 
     def active_senders(self, endpoint: Endpoint, since: int) -> tuple[float, bool]:
@@ -529,32 +529,36 @@
         """Pick the next message of a destination and its endpoint. The only place that does so.
 
         Within a message group the most urgent one is next to a few deadlines: long queues cost no more."""
-        now, destination.choice = self.now, None
+        now, destination.pick = self.now, None
         openings = [(self.sendable_at(e), e) for e in destination.endpoints.values()]
-        destination.opens_at = min((at for at, _ in openings if at > now), default=NEVER)
+        destination.next_opening_at = min((at for at, _ in openings if at > now), default=NEVER_US)
         routes = [e for at, e in openings if at <= now]
         if len(routes) > 1:
-            latencies = ((e.latency(now), e.usual.error() * self.large_fleet) for e in routes if e.usual.mean)
+            latencies = (
+                (e.latency(now), e.answer_time.standard_error() * self.large_fleet)
+                for e in routes
+                if e.answer_time.mean
+            )
             fastest = min(latencies, key=sum, default=(1.0, 0.0))
-            for passed in (e for e in routes if e.turn <= destination.last_turn):
-                passed.turn = destination.last_turn + self.rng.random() * passed.stride
+            for passed in (e for e in routes if e.next_turn <= destination.last_turn):
+                passed.next_turn = destination.last_turn + self.rng.random() * passed.turn_interval
             extra = self.large_fleet and (
                 sum(e.is_warm(now) for e in routes) + 1
             ) * CALLS_PER_EXTRA_CONNECTION * SECOND_US <= (destination.rate * self.settings.keepalive_us)
-            routes.sort(key=lambda e: (e.rank(now, extra) + self.route_penalty(e, fastest), e.turn))
+            routes.sort(key=lambda e: (e.rank(now, extra) + self.route_penalty(e, fastest), e.next_turn))
         drain_us = self.drain_us(destination) if routes else 0
         best: tuple[int, float] | None = None
         for cls, zone, group in destination.held.sendable() if routes else ():
             if (route := next((e for e in routes if zone in ("", e.zone)), None)) is None:
                 continue
             trial_order = 0 if route.out_since is None else TRIAL_EFFECT_ORDER.index(cls.effect)
-            answer_at, refusal_at = now + int(route.usual.mean), now + self.expected_refusal_us(route)
+            answer_at, refusal_at = now + int(route.answer_time.mean), now + self.expected_refusal_us(route)
             for message in group.around(urgency_breakpoints(cls, answer_at, drain_us, self.settings.halves)):
                 if message.deadline <= refusal_at:
                     continue  # it would end before a refusal arrives, whose retry-after wait would be lost
                 key = trial_order, self.urgency(message, answer_at, drain_us)
                 if best is None or key > best:
-                    best, destination.choice = key, (key[1], message, route)
+                    best, destination.pick = key, (key[1], message, route)
 
     def expected_refusal_us(self, endpoint: Endpoint) -> float:
         """Return the time within which refusals from the endpoint's zone usually arrive."""
@@ -567,19 +571,22 @@
         Zones count as calls per endpoint are too rare to learn from; a dominant slow destination misleads."""
         apart = self.settings.kinds.get(endpoint.kind, DestinationKind()).apart
         penalty = ZONE_FEE_CALLS * self.settings.zone_fees.get(endpoint.zone, 0.0) if apart else 0.0
-        if not endpoint.share:
+        if not endpoint.call_share:
             penalty += CROSSING_CALLS * self.settings.crossing_price
-        if endpoint.usual.mean:
-            latency = endpoint.latency(self.now), endpoint.usual.error()
+        if endpoint.answer_time.mean:
+            latency = endpoint.latency(self.now), endpoint.answer_time.standard_error()
             penalty += SLOWNESS_CALLS * excess(latency, fastest, ENDPOINT_ERRORS * self.large_fleet)
-        zones = {name: (zone.mean, zone.error() * self.large_fleet) for name, zone in self.zone_times.items()}
+        zones = {
+            name: (zone.mean, zone.standard_error() * self.large_fleet)
+            for name, zone in self.zone_times.items()
+        }
         best = min(zones.values(), key=sum, default=(1.0, 0.0))
         scarce = 1 + FULL_SLOTS_ZONE_FACTOR * len(self.calls) / self.settings.slots  # far calls last longer
         return penalty + excess(zones.get(endpoint.zone, best), best, ZONE_ERRORS * self.large_fleet) * scarce
 
     def drain_us(self, destination: Destination) -> int:
         """Estimate how long the held messages need to drain at the rates of the limits and active senders."""
-        since, routes = destination.held.since, destination.endpoints.values()
+        since, routes = destination.held.oldest_accepted_at, destination.endpoints.values()
         rate = sum((e.shared_limit.pace or e.even_rate()) / self.active_senders(e, since)[0] for e in routes)
         return int(min(max(MIN_DRAIN_S, len(destination.held) / max(rate, 0.1)), MAX_DRAIN_S) * SECOND_US)
 
@@ -598,11 +605,11 @@
             self.openings.drop(number)
             return
         self.pick_next(destination)
-        if destination.choice is None:
+        if destination.pick is None:
             self.ready.drop(number)
-            self.openings.set(number, destination.opens_at)
+            self.openings.set(number, destination.next_opening_at)
         else:
-            self.ready.set(number, (-destination.choice[0], number), self.now)
+            self.ready.set(number, (-destination.pick[0], number), self.now)
             self.openings.drop(number)
 
     def dispatch(self) -> None:
@@ -618,8 +625,8 @@
             if (first := self.ready.first_refreshed(stale, MAX_REFRESHES, self.refresh_pick)) is None:
                 break
             destination = self.destinations[first]
-            if destination.choice is not None:
-                self.send(destination, *destination.choice[1:])
+            if destination.pick is not None:
+                self.send(destination, *destination.pick[1:])
             self.changed.pop(first, None)
             self.refresh_pick(first)
         self.cancel_stuck_calls()
@@ -629,7 +636,7 @@
 
         Otherwise these and trials take all slots. Late answers are lost: unrepeatable calls get longer."""
         now, stuck = self.now, list[tuple[bool, int, int, Call[Endpoint]]]()
-        choices = (self.destinations[n].choice for n in self.ready) if self.overdue else ()
+        choices = (self.destinations[n].pick for n in self.ready) if self.overdue else ()
         healthy = (c for c in choices if c is not None and c[2].out_since is None)
         wanted_slots = sum(1 for _ in islice(healthy, len(self.overdue)))
         for call in (c for c in self.overdue if wanted_slots and not c.cancelled):
@@ -646,8 +653,8 @@
         """Start a call with the given message and others that can travel with it."""
         trial, limit = endpoint.out_since is not None, endpoint.shared_limit
         if self.large_fleet:  # in a small fleet each sender keeps its random order, and sees many calls
-            destination.last_turn, endpoint.preferred = endpoint.turn, False
-            endpoint.turn += endpoint.stride
+            destination.last_turn, endpoint.preferred = endpoint.next_turn, False
+            endpoint.next_turn += endpoint.turn_interval
         call = Call(endpoint, self.now, not endpoint.idle and not endpoint.shares_connection())
         if limit.pace is not None:
             limit.bucket.tokens -= 1
@@ -682,7 +689,11 @@
         self, first: Message, endpoint: Endpoint, destination: Destination, max_count: int
     ) -> list[Message]:
         """Release the messages of one call: the first one and the most urgent that may join it."""
-        taken, answer_at, drain_us = [first], self.now + int(endpoint.usual.mean), self.drain_us(destination)
+        taken, answer_at, drain_us = (
+            [first],
+            self.now + int(endpoint.answer_time.mean),
+            self.drain_us(destination),
+        )
         self.release(first)
         while len(taken) < max_count and destination.held:
             others = [
@@ -741,7 +752,7 @@
         drained_at, halves = self.now + self.drain_us(destination), self.settings.halves
         candidates = list[Message]()
         for group in destination.held.refusable():
-            expired, losing = group.before(drained_at), group[0].aim_at < drained_at
+            expired, losing = group.before(drained_at), group[0].target_at < drained_at
             candidates.append(group[expired - 1] if expired else group[0] if losing else group[-1])
         return min(candidates, key=lambda m: (m.value(drained_at, halves), -m.deadline), default=None)
 
@@ -767,10 +778,10 @@
         """Keep one timer armed for the next event that is due."""
         full = len(self.calls) >= self.settings.slots
         queues = (self.expiries, self.silences, self.key_rests, self.overdue_at if full else self.openings)
-        due_times = [self.list_watch.next_request_at, self.gossip.next_at()]
+        due_times = [self.list_watch.next_request_at, self.gossip.next_report_at()]
         due_times += [at for a in queues if (at := a.next_at()) is not None]
         due_times += [self.now + 1] if self.changed and not full else []
-        earliest = min((t for t in due_times if t > self.now), default=NEVER)
-        if earliest < self.armed_at and earliest < NEVER:
+        earliest = min((t for t in due_times if t > self.now), default=NEVER_US)
+        if earliest < self.armed_at and earliest < NEVER_US:
             self.token, self.armed_at = self.token + 1, earliest
             self.actions.append(ArmTimer(earliest - self.now, self.token))
--- a/rowanspindle/notes.py
+++ b/rowanspindle/notes.py
@@ -21,10 +21,10 @@
 class FactKind(IntEnum):
     """The kind of a fact. Its subject is a destination unless stated otherwise."""
 
-    WORK = 1  # the value is the number of messages that the sender holds for it
+    HELD_MESSAGES = 1  # the value is the number of messages that the sender holds for it
     REFUSED = 2  # it refused a call; the value is the remaining retry-after wait in 10 ms, 0 without one
-    SHORT = 3  # endpoints of its kind have a shortage of connections
-    BACK = 4  # the subject is an endpoint's digest: it answers again after an outage
+    CONNECTIONS_SHORT = 3  # endpoints of its kind have a shortage of connections
+    RECOVERED = 4  # the subject is an endpoint's digest: it answers again after an outage
 
 
 class Fact(NamedTuple):
