--- a/rowanspindle/pacing.py
+++ b/rowanspindle/pacing.py
@@ -18,7 +18,7 @@
     TokenBucket,
     estimate_active_senders,
 )
-from rowanspindle.gossip import MAX_SENDERS_ALL_TELL
+from rowanspindle.gossip import MAX_SENDERS_ALL_REPORT
 from rowanspindle.held_messages import INITIAL_RATE_WEIGHT, RATE_MEMORY_S
 
 if TYPE_CHECKING:
@@ -75,34 +75,37 @@
     """The limit shared by the endpoints of a destination, or that of one endpoint where each has its own."""
 
     def __init__(self, settings: Settings, rate: float, own: float, now: int, tokens: float = 1.0) -> None:
-        self.replicas, self.own = settings.replicas, RateEstimator(now, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
+        self.replicas, self.own_rate = (
+            settings.replicas,
+            RateEstimator(now, RATE_MEMORY_S, INITIAL_RATE_WEIGHT),
+        )
         self.rate_is_measured = rate <= 0 or not settings.weights_told
-        self.weight = max(own * self.replicas if self.rate_is_measured else rate, 0.1)
+        self.rate = max(own * self.replicas if self.rate_is_measured else rate, 0.1)
         max_window = max(2.0, settings.slots * MAX_SLOT_SHARE)
         self.window = ConcurrencyWindow(
-            MIN_START_WINDOW_CALLS + self.weight / self.replicas,
+            MIN_START_WINDOW_CALLS + self.rate / self.replicas,
             max_window,
             WINDOW_FLOOR_CALLS,
             WINDOW_CUT_FACTOR,
         )
         self.calls: list[Call[Endpoint]] = []
         # The number of listed endpoints that share it, and the limit reported by answers.
-        self.routes, self.reported_limit = 0, 0.0
+        self.endpoint_count, self.reported_limit = 0, 0.0
         self.opens_at, self.refusals, self.last_refusal_at = 0, 0, -1
         # Calls per second of all senders while a limit is evident. It is set from the start if the limit is
         # configured and refusals have a price.
         limit_is_known = settings.weights_exact and settings.refused_price > 0 and not self.rate_is_measured
-        self.pace: float | None = self.weight if limit_is_known else None
-        self.max_pace = self.weight if limit_is_known else math.inf
+        self.pace: float | None = self.rate if limit_is_known else None
+        self.max_pace = self.rate if limit_is_known else math.inf
         self.bucket, self.rises_with_time, self.last_rise_at = TokenBucket(tokens), False, now
         # Whether each sender hears of the work of some other senders at most.
-        self.gossip_is_partial = settings.replicas > MAX_SENDERS_ALL_TELL
+        self.gossip_is_partial = settings.replicas > MAX_SENDERS_ALL_REPORT
 
     def active_senders(self, age_us: int) -> float:
         """Estimate how many senders, with this one, have work if messages have waited that long."""
         return estimate_active_senders(
             self.replicas,
-            self.weight,
+            self.rate,
             max(age_us, int(REPORTED_LIMIT_MIN_AGE_S * SECOND_US)) if self.reported_limit else age_us,
         )
 
@@ -118,7 +121,7 @@
                 (now - self.last_refusal_at) / SECOND_US,
                 (now - self.last_rise_at) / SECOND_US,
             )
-            raised = self.pace + self.weight * GOSSIP_PACE_RISE_SHARE * (1 + quiet_s) * elapsed_s
+            raised = self.pace + self.rate * GOSSIP_PACE_RISE_SHARE * (1 + quiet_s) * elapsed_s
             self.pace = min(self.max_pace * GOSSIP_PACE_MAX_FACTOR, raised)
         self.last_rise_at = now
         rate = (self.pace or 0.0) / senders
@@ -131,9 +134,9 @@
         on. So a known limit is not detected by refusals, each of which costs a wait and, at some
         destinations, counts against the limit.
         """
-        known_rate = self.reported_limit or self.weight
+        known_rate = self.reported_limit or self.rate
         limit = min(max(limit, known_rate / REPORT_MAX_FACTOR), known_rate * REPORT_MAX_FACTOR)
-        self.reported_limit = self.weight = self.reported_limit + (
+        self.reported_limit = self.rate = self.reported_limit + (
             REPORT_SMOOTHING_FACTOR if self.reported_limit else 1.0
         ) * (limit - self.reported_limit)
         self.pace = self.reported_limit if self.pace is None else self.pace
@@ -160,7 +163,7 @@
         if not same_burst:
             self.cut_pace()
         senders = min(self.replicas, max(senders, 2 ** min(self.refusals, 8)))
-        others_us = (senders - 1) / (self.pace or self.weight) * SECOND_US
+        others_us = (senders - 1) / (self.pace or self.rate) * SECOND_US
         spread_us = (
             max(min(wait, INITIAL_BACKOFF_S * SECOND_US * 2) * BACKOFF_JITTER, others_us) * rng.random()
         )
@@ -169,7 +172,7 @@
 
     def cut_pace(self) -> None:
         """Lower the pace after a sign of a limit below the estimate."""
-        pace = min(self.weight if self.pace is None else self.pace, self.reported_limit or math.inf)
+        pace = min(self.rate if self.pace is None else self.pace, self.reported_limit or math.inf)
         factor = (
             REPORT_PACE_CUT_FACTOR
             if self.reported_limit
@@ -178,8 +181,7 @@
             else PACE_CUT_FACTOR
         )
         self.pace = max(
-            self.weight
-            / (PARTIAL_GOSSIP_PACE_FLOOR_DIVISOR if self.gossip_is_partial else PACE_FLOOR_DIVISOR),
+            self.rate / (PARTIAL_GOSSIP_PACE_FLOOR_DIVISOR if self.gossip_is_partial else PACE_FLOOR_DIVISOR),
             pace * factor,
         )
 
@@ -196,13 +198,13 @@
         """Record an answer: the pace rises until no limit is evident any more."""
         self.refusals = 0
         if self.pace is not None and not self.rises_with_time:
-            raised = self.pace + self.weight * PACE_RISE_SHARE * min(self.replicas, PACE_RISE_SENDER_COUNT)
+            raised = self.pace + self.rate * PACE_RISE_SHARE * min(self.replicas, PACE_RISE_SENDER_COUNT)
             raised = (
                 max(raised, self.pace * (1 + PARTIAL_GOSSIP_PACE_RISE_SHARE))
                 if self.gossip_is_partial
                 else raised
             )
-            raised_or_none = None if raised > self.weight * PACE_REMOVAL_FACTOR else raised
+            raised_or_none = None if raised > self.rate * PACE_REMOVAL_FACTOR else raised
             self.pace = (
                 min(raised, self.reported_limit * REPORT_PACE_MAX_FACTOR)
                 if self.reported_limit
--- a/rowanspindle/slow_start.py
+++ b/rowanspindle/slow_start.py
@@ -12,7 +12,7 @@
 
 from rowanspindle.api import Outage, Settings
 from rowanspindle.data_structures import TokenBucket
-from rowanspindle.held_messages import NEVER
+from rowanspindle.held_messages import NEVER_US
 
 SECOND_US = 1_000_000
 
@@ -72,12 +72,12 @@
     @property
     def suspected(self) -> bool:
         """Whether a sibling has an outage and this endpoint has not answered since."""
-        return self.ramp_from == NEVER
+        return self.ramp_from == NEVER_US
 
     def begin_suspicion(self, now: int, rng: Random) -> None:
         """Treat the endpoint as possibly out: one call may go at once, further ones as to a cold endpoint."""
         self.began_at, self.failure_confirmed, self.cold_calls = now, False, 0
-        self.ramp_from, self.grace_until = NEVER, now + self._settings.fall_us
+        self.ramp_from, self.grace_until = NEVER_US, now + self._settings.fall_us
         self.ramp_bucket.tokens, self.ramp_bucket.filled_at = rng.random(), self.grace_until
 
     def reinstate(self, now: int, sent_at: int, confirmed: bool) -> bool:
@@ -107,7 +107,7 @@
     def restore(self, now: int, outage: Outage, rng: Random) -> None:
         """Restore an outage from the previous process: it is in a slow start, or one call shows its state."""
         self.began_at, self.failure_confirmed = outage.began_at, True
-        self.ramp_from, self.grace_until = NEVER if outage.back_at is None else outage.back_at, now
+        self.ramp_from, self.grace_until = NEVER_US if outage.back_at is None else outage.back_at, now
         self.ramp_bucket.tokens, self.ramp_bucket.filled_at = rng.random(), now
 
     def cold_rate(self, now: int, active_senders: float | None = None) -> float:
--- a/rowanspindle/state.py
+++ b/rowanspindle/state.py
@@ -13,7 +13,7 @@
 from rowanspindle.gossip import Gossip
 from rowanspindle.held_messages import (
     INITIAL_RATE_WEIGHT,
-    NEVER,
+    NEVER_US,
     RATE_MEMORY_S,
     DestinationState,
     KeyQueue,
@@ -26,7 +26,7 @@
 class TrackedLimit(Protocol):
     """The attributes of a shared limit that this module needs."""
 
-    routes: int
+    endpoint_count: int
     opens_at: int
 
 
@@ -112,18 +112,18 @@
         self.answered: dict[E, None] = {}  # endpoints with a connection that may be closed as idle
         self.zone_times: dict[str, RunningMean] = {}  # answer times of each zone
         self.refusal_times: dict[str, RunningMean] = {}  # times of refusals of each zone
-        self.own_rate = RateEstimator(NEVER, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
+        self.own_rate = RateEstimator(NEVER_US, RATE_MEMORY_S, INITIAL_RATE_WEIGHT)
         self.connection_reuse = ConnectionReuse(settings)
         self.quota = {
             n: TokenBucket(r * QUOTA_BURST_S / settings.replicas) for n, r in settings.tenants.items()
         }
-        self.token, self.armed_at = 0, NEVER
+        self.token, self.armed_at = 0, NEVER_US
         self.list_watch, self.gossip = ListWatch(settings), Gossip(settings, Random(f"{seed} tells").random())
 
     def mark_changed(self, number: int) -> None:
         """Mark a destination as changed, which invalidates its pick and its place in by_worth."""
         if (destination := self.destinations.get(number)) is not None:
-            self.gossip.update_held(number, len(destination.held), destination.held.since)
+            self.gossip.update_held(number, len(destination.held), destination.held.oldest_accepted_at)
         if number in self.waiting:
             self.changed[number] = None
             if self.by_worth or self.changed_worth:
@@ -135,11 +135,11 @@
             return
         if key_queue.waiting:
             first = key_queue.waiting[0]
-            if self.destinations[first.dest].held.move(
-                first, first.group_for(key_queue.in_turn(first, self.now))
+            if self.destinations[first.dest].held.move_to_group(
+                first, first.group_for(key_queue.may_send(first, self.now))
             ):
                 self.mark_changed(first.dest)
-        if not key_queue.waiting and not key_queue.attempts_out and self.now >= key_queue.rest_until:
+        if not key_queue.waiting and not key_queue.attempts_out and self.now >= key_queue.resting_until:
             del self.keys[key]
 
     def initial_rate(self) -> float:
@@ -177,7 +177,7 @@
             self.mark_changed(endpoint.dest)
             self.changed_lists.add(endpoint.dest)
             self.unlisted[endpoint.target] = endpoint
-            endpoint.shared_limit.routes -= 1
+            endpoint.shared_limit.endpoint_count -= 1
             self.removals.set(endpoint, self.now)
 
     def forget_unlisted(self) -> None:
--- a/rowanspindle/wire.py
+++ b/rowanspindle/wire.py
@@ -275,7 +275,7 @@
         case Send():
             return f"ASSIGN {action.ref} {action.target} {action.timeout_us}"
         case Refuse():
-            return f"OVERLOAD_REPLY {action.ref} {action.come_back_us}"
+            return f"OVERLOAD_REPLY {action.ref} {action.retry_after_us}"
         case Fail():
             return f"ABORT {action.ref}"
         case Cancel():
--- a/rowanspindle/zones.py
+++ b/rowanspindle/zones.py
@@ -17,11 +17,11 @@
     """The attributes of an endpoint that this module needs."""
 
     zone: str
-    share: float  # calls that it gets from this sender, relative to an even share
-    turn: float
+    call_share: float  # calls that it gets from this sender, relative to an even share
+    next_turn: float
 
     @property
-    def stride(self) -> float:
+    def turn_interval(self) -> float:
         """The distance between two of its turns."""
 
 
@@ -58,5 +58,5 @@
         return
     shares = call_shares((endpoint.zone for endpoint in endpoints), own_zone, zone_count)
     for endpoint in endpoints:
-        previous_stride, endpoint.share = endpoint.stride, shares[endpoint.zone]
-        endpoint.turn = turn + (endpoint.turn - turn) * endpoint.stride / previous_stride
+        previous_stride, endpoint.call_share = endpoint.turn_interval, shares[endpoint.zone]
+        endpoint.next_turn = turn + (endpoint.next_turn - turn) * endpoint.turn_interval / previous_stride
--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -52,10 +52,10 @@
     def owed(self) -> dict[str, Message]:
         """The messages that are owed, by id."""
 
-    def told(self, message_id: str) -> None:
+    def confirm_notice(self, message_id: str) -> None:
         """Record that the notice of an end was confirmed."""
 
-    def untold(self, front: str) -> list[tuple[str, End]]:
+    def unconfirmed_notices(self, front: str) -> list[tuple[str, End]]:
         """Return a front's refused and failed messages whose notice is not yet confirmed."""
 
 
@@ -186,7 +186,7 @@
         for i, m in store.owed.items()
     }
     ends = {i: end for i in ("a", "b", "c", "keyed") if (end := store.ended(i)) is not None}
-    return owed, ends, sorted(store.untold("platform"), key=lambda pair: pair[0])
+    return owed, ends, sorted(store.unconfirmed_notices("platform"), key=lambda pair: pair[0])
 
 
 class ReferenceModel:
@@ -213,7 +213,7 @@
         """Apply an operation, if it is valid now, and compare the results of the store."""
         getattr(self, operation[0])(*operation[1:])
         assert self.store.ended("a") == self.ends.get("a") and self.store.owed.keys() == self.messages.keys()
-        if not self.store.behind():
+        if not self.store.has_unwritten_records():
             self.allowed_snapshots = []
         self.allowed_snapshots.append(self.expected_snapshot())
 
@@ -221,7 +221,9 @@
         body, key = b"body of " + name.encode(), "k" * (name == "keyed")
         message = Message(name, "c", "t", 3, 5_000_000, body, "platform", "f", key)
         if name not in self.messages and self.store.take(message):
-            assert not self.store.behind(), "a message was accepted before earlier records were written"
+            assert not self.store.has_unwritten_records(), (
+                "a message was accepted before earlier records were written"
+            )
             self.messages[name], self.begun_counts[name] = message, 0
             self.ends.pop(name, None)
             self.untold.discard(name)
@@ -231,7 +233,9 @@
             return
         attempt_number, message.attempts_made = message.attempts_made, message.attempts_made + 1
         if self.store.begin(message, attempt_number):
-            assert not self.store.behind(), "an attempt began before earlier records were written"
+            assert not self.store.has_unwritten_records(), (
+                "an attempt began before earlier records were written"
+            )
             message.unsettled[attempt_number] = NOW_US if message.key else 0
             self.begun_counts[name] = attempt_number + 1
 
@@ -250,7 +254,7 @@
     def told(self, name: str) -> None:
         if name in self.untold:
             self.untold.discard(name)
-            self.store.told(name)
+            self.store.confirm_notice(name)
 
     def compact(self) -> None:
         self.harness.compact()
@@ -285,7 +289,7 @@
                 for n, operation in enumerate(OPERATIONS[: room_from + 4]):
                     if n in (full_from, room_from):
                         harness.full(n == full_from and full_from < room_from)
-                        assert n == full_from or model.store.recording(), (
+                        assert n == full_from or model.store.can_record(), (
                             "the store does not recover after the disk has room again"
                         )
                     model.apply(operation)
@@ -307,7 +311,7 @@
                 )
                 for operation in OPERATIONS:
                     model.apply(operation)
-                    assert model.store.recording() and len(model.allowed_snapshots) == 1, (
+                    assert model.store.can_record() and len(model.allowed_snapshots) == 1, (
                         "the store does not recover from a single failed write"
                     )
                     file, data = harness.store.file, harness.store.path.read_bytes()
--- a/tests/contracts/test_bans.py
+++ b/tests/contracts/test_bans.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from rowanrack.store.bans import BanFile
+from rowanrack.store.bans import DetachedEndpointFile
 
 
 class DetachedEndpoints(Protocol):
@@ -48,7 +48,7 @@
         self.seen = self.shared.version
 
 
-class ReadsVersionAfterWrite(BanFile):
+class ReadsVersionAfterWrite(DetachedEndpointFile):
     """Deliberately faulty: reads the file's version after the rename, when it may be another process's."""
 
     def write(self, bans: set[str]) -> None:
@@ -60,7 +60,7 @@
     if kind == "memory":
         shared = SharedBans()
         return InMemoryBans(shared), InMemoryBans(shared)
-    return BanFile(folder), BanFile(folder)
+    return DetachedEndpointFile(folder), DetachedEndpointFile(folder)
 
 
 @pytest.mark.parametrize("kind", ["file", "memory"])
@@ -77,10 +77,10 @@
 
 
 def read_after_concurrent_write(
-    kind: type[BanFile], folder: Path, patch: pytest.MonkeyPatch
+    kind: type[DetachedEndpointFile], folder: Path, patch: pytest.MonkeyPatch
 ) -> set[str] | None:
     """Return what a process sees if another process writes right after its own write."""
-    one, other, real_replace = kind(folder), BanFile(folder), os.replace
+    one, other, real_replace = kind(folder), DetachedEndpointFile(folder), os.replace
 
     def replace(*args: Any) -> None:
         real_replace(*args)
@@ -96,7 +96,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against taking the version of another process's write for the own one, which hid its change."""
-    assert read_after_concurrent_write(BanFile, tmp_path, monkeypatch) == {"theirs"}
+    assert read_after_concurrent_write(DetachedEndpointFile, tmp_path, monkeypatch) == {"theirs"}
 
 
 def test_reading_the_version_after_the_write_misses_the_other_change(
@@ -109,7 +109,7 @@
 def test_full_disk_leaves_the_old_set_and_no_temporary_file(
     step: tuple[Any, str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    one = BanFile(tmp_path)
+    one = DetachedEndpointFile(tmp_path)
     one.write({"a"})
 
     def fail_disk_full(*_: object, **__: object) -> None:
@@ -119,23 +119,23 @@
         patch.setattr(*step, fail_disk_full)
         with pytest.raises(OSError, match="No space left"):
             one.write({"a", "b"})
-    assert one.changed() is None and BanFile(tmp_path).changed() == {"a"}
+    assert one.changed() is None and DetachedEndpointFile(tmp_path).changed() == {"a"}
     assert [p.name for p in tmp_path.iterdir()] == ["detached.json"]
     one.write({"a", "b"})
-    assert BanFile(tmp_path).changed() == {"a", "b"}
+    assert DetachedEndpointFile(tmp_path).changed() == {"a", "b"}
 
 
 def test_kill_between_write_and_rename_leaves_the_old_set(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    BanFile(tmp_path).write({"a"})
+    DetachedEndpointFile(tmp_path).write({"a"})
     with monkeypatch.context() as patch, pytest.raises(KeyboardInterrupt):
         patch.setattr(os, "replace", lambda *_: (_ for _ in ()).throw(KeyboardInterrupt))
-        BanFile(tmp_path).write({"b"})
-    after = BanFile(tmp_path)
+        DetachedEndpointFile(tmp_path).write({"b"})
+    after = DetachedEndpointFile(tmp_path)
     assert after.changed() == {"a"}
     after.write({"c"})
-    assert BanFile(tmp_path).changed() == {"c"}
+    assert DetachedEndpointFile(tmp_path).changed() == {"c"}
 
 
 VALID_FILE = json.dumps(["a", "b"]).encode()
@@ -147,7 +147,7 @@
 def test_damaged_file_leaves_detached_endpoints_unchanged(
     raw: bytes, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    one, other = BanFile(tmp_path), BanFile(tmp_path)
+    one, other = DetachedEndpointFile(tmp_path), DetachedEndpointFile(tmp_path)
     one.write({"a", "b"})
     assert other.changed() == {"a", "b"}
     temporary_path = tmp_path / "torn"
@@ -174,8 +174,8 @@
     def fail_no_descriptors(*_: object, **__: object) -> None:
         raise OSError(errno.EMFILE, "Too many open files")
 
-    BanFile(tmp_path).write({"a"})
-    starts = BanFile(tmp_path)
+    DetachedEndpointFile(tmp_path).write({"a"})
+    starts = DetachedEndpointFile(tmp_path)
     with monkeypatch.context() as patch:
         patch.setattr(Path, step, fail_no_descriptors)
         patch.setattr(Path, "read_text", fail_no_descriptors)
@@ -185,7 +185,7 @@
 
 
 def test_write_into_a_missing_folder_raises(tmp_path: Path) -> None:
-    open_missing: Callable[[], BanFile] = lambda: BanFile(tmp_path / "gone")  # noqa: E731
+    open_missing: Callable[[], DetachedEndpointFile] = lambda: DetachedEndpointFile(tmp_path / "gone")  # noqa: E731
     assert open_missing().changed() == set()
     with pytest.raises(OSError, match="No such file"):
         open_missing().write({"a"})
--- a/tests/contracts/test_message_stores.py
+++ b/tests/contracts/test_message_stores.py
@@ -173,17 +173,17 @@
         finally:
             self._unwritten = queued
 
-    def behind(self) -> bool:
+    def has_unwritten_records(self) -> bool:
         return False
 
 
 class DropsRefusedChanges(MemoryStore):
     """Drops changes that the full durable state refuses."""
 
-    def behind(self) -> bool:
+    def has_unwritten_records(self) -> bool:
         if self.durable.full:
             self._unwritten.clear()
-        return MemoryStore.behind(self)
+        return MemoryStore.has_unwritten_records(self)
 
 
 def check_generated_order(make_harness: Callable[[], StoreHarness]) -> None:
@@ -261,19 +261,19 @@
         lock_fd = os.open(harness.folder / "messages.lock", os.O_RDWR)
         fcntl.flock(lock_fd, fcntl.LOCK_EX)  # held as by the previous process, which still runs
         successor = harness.open()
-        assert successor.slot == "messages.b" and successor.absorb() is None
+        assert successor.slot == "messages.b" and successor.take_over() is None
         os.close(lock_fd)
         harness.disk.failing_write_number, harness.disk.short_write = (
             harness.disk.write_count + failing_write_number,
             short_write,
         )
-        taken_over = successor.absorb()
-        assert (taken_over is None) == (failing_write_number == 1) == bool(successor.trouble)
+        taken_over = successor.take_over()
+        assert (taken_over is None) == (failing_write_number == 1) == bool(successor.write_error)
         harness.disk.failing_write_number = 0
         assert taken_over is None or {m.id for m in taken_over} == model.messages.keys()
         harness.kill()
         third = harness.open()
-        assert third.absorb() is not None
+        assert third.take_over() is not None
         model.check(third)
 
 
@@ -291,14 +291,14 @@
     assert first.take(Message("a", "c", "t", 3, 5_000_000, b"", "platform"))
     first.close()
     monkeypatch.setattr(Path, "unlink", refuse_unlink)
-    taken_over = second.absorb()
-    assert taken_over is not None and [m.id for m in taken_over] == ["a"] and second.absorb() == []
+    taken_over = second.take_over()
+    assert taken_over is not None and [m.id for m in taken_over] == ["a"] and second.take_over() == []
     second.end(taken_over[0], DELIVERED)
     second.close()
     monkeypatch.undo()
     third = Journal(tmp_path, 3_000_000, lambda: NOW_US)
     third.open()
-    assert third.absorb() == [] and not third.owed and third.ended("a") == DELIVERED
+    assert third.take_over() == [] and not third.owed and third.ended("a") == DELIVERED
 
 
 def test_failed_check_of_the_other_slot_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -318,6 +318,6 @@
     first.close()
     with monkeypatch.context() as patch:
         patch.setattr("rowanrack.store.journal.os.open", fail_without_descriptors)
-        assert second.absorb() is None and not second.shared()
+        assert second.take_over() is None and not second.other_process_running()
     now_us[0] += 2 * RETRY_DELAY_US
-    assert [m.id for m in second.absorb() or []] == ["a"]
+    assert [m.id for m in second.take_over() or []] == ["a"]
--- a/tests/contracts/test_notes_transports.py
+++ b/tests/contracts/test_notes_transports.py
@@ -30,12 +30,12 @@
     b"\xa1\x01\x09\x01\x01",
     b"x" * (MAX_NOTE_BYTES + 1),
     b"y" * 9000,
-    encode_note(Note(1, (Fact(FactKind.WORK, 7, 2),)))[:-1],
+    encode_note(Note(1, (Fact(FactKind.HELD_MESSAGES, 7, 2),)))[:-1],
 ]
 
 
 def note(number: int, value: int = 2) -> Note:
-    return Note(number % SEQUENCE_NUMBERS, (Fact(FactKind.WORK, 7, value),))
+    return Note(number % SEQUENCE_NUMBERS, (Fact(FactKind.HELD_MESSAGES, 7, value),))
 
 
 class UdpPorts:
@@ -102,8 +102,8 @@
             one.close()
             ports.peer.sendto(encode_note(note(12)), ports.own)
             await ports.until(lambda: len(ports.received) > before + 1)
-            one.tell(note(1))  # on a closed port this does nothing
-            two.tell(note(13))
+            one.send(note(1))  # on a closed port this does nothing
+            two.send(note(13))
             assert (await asyncio.to_thread(ports.peer.recv, 999)) == encode_note(note(13))
         finally:
             ports.close()
--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -43,7 +43,7 @@
     def __init__(self, folder: Path) -> None:
         self.closed_idle: list[str] = []
         super().__init__(folder)
-        self.exchange.list_instances(UpdateScope.FULL, ())
+        self.exchange.update_endpoints(UpdateScope.FULL, ())
 
     def close_idle(self, name: str) -> None:
         self.closed_idle.append(name)
@@ -80,8 +80,8 @@
         await advance_time(self.desk, self.desk.now + round(seconds * SECOND_US))
 
     def listed(self) -> set[str]:
-        table = self.desk.exchange.table
-        return {n for n in table.names() if table.listed(n)}
+        table = self.desk.exchange.endpoint_list
+        return {n for n in table.names() if table.accepts_calls(n)}
 
     def names(self, entries: Iterable[str]) -> set[str]:
         return {self.listed_name(n) for n in entries}
@@ -192,7 +192,7 @@
 
     def start(self) -> None:
         self.watch = DiscoveryWatch(self.desk.exchange, "discovery", 1, 5)
-        self.desk.exchange.watch = self.watch.watch
+        self.desk.exchange.request_list = self.watch.start
 
     def close(self) -> None:
         self.watch.close()
@@ -334,12 +334,12 @@
 
 
 async def full_list_replaces_only_entries_of_its_source(source: Source) -> None:
-    source.desk.exchange.list_instances(UpdateScope.FULL, [make_endpoint("other", 9)], "other")
+    source.desk.exchange.update_endpoints(UpdateScope.FULL, [make_endpoint("other", 9)], "other")
     await source.provide_list(ListedEndpoint("a"), ListedEndpoint("b", 2))
     assert source.listed() == source.names("ab") | {"other"}
     await source.provide_list(ListedEndpoint("b", 2))
     assert source.listed() == source.names("b") | {"other"}
-    source.desk.exchange.list_instances(UpdateScope.FULL, (), "other")
+    source.desk.exchange.update_endpoints(UpdateScope.FULL, (), "other")
     assert source.listed() == source.names("b")
 
 
@@ -349,7 +349,7 @@
         endpoint = source.desk.exchange.forwarder.endpoints[source.listed_name("a")]
         assert endpoint.listed and source.listed() == source.names("a")
         await source.provide_list()
-        assert not source.desk.exchange.table.names() and not endpoint.listed
+        assert not source.desk.exchange.endpoint_list.names() and not endpoint.listed
         assert source.desk.closed_idle.pop() == source.listed_name("a")
 
 
@@ -359,7 +359,7 @@
     await source.provide_list(ListedEndpoint("a"))
     attempt = source.desk.submit("m1", "album-update")
     await source.provide_list(ListedEndpoint("a", drains=True))
-    found = source.desk.exchange.table.get(source.listed_name("a"))
+    found = source.desk.exchange.endpoint_list.get(source.listed_name("a"))
     assert found is not None and found.status is EndpointStatus.DRAINING
     assert not source.desk.exchange.begin(attempt)
     await source.provide_list(ListedEndpoint("a"))
@@ -377,7 +377,7 @@
         assert not source.desk.exchange.begin(attempt) and source.desk.closed_idle == [
             source.listed_name("a")
         ]
-        found = source.desk.exchange.table.get(source.listed_name("a"))
+        found = source.desk.exchange.endpoint_list.get(source.listed_name("a"))
         assert found is not None and (found.dest, found.port) == (moved.dest, moved.port)
 
 
@@ -455,20 +455,20 @@
 async def endpoint_of_two_sources_stays_until_both_have_removed_it(source: Source) -> None:
     name, exchange = source.listed_name("a"), source.desk.exchange
     await source.provide_list(ListedEndpoint("a"))
-    exchange.list_instances(UpdateScope.FULL, [make_endpoint(name, 9)], "other")
-    assert exchange.table.get(name).port == 9  # type: ignore[union-attr]
-    exchange.list_instances(UpdateScope.FULL, (), "other")
-    assert exchange.table.get(name).port == 1  # type: ignore[union-attr]
-    exchange.list_instances(UpdateScope.FULL, [make_endpoint(name, 9)], "other")
+    exchange.update_endpoints(UpdateScope.FULL, [make_endpoint(name, 9)], "other")
+    assert exchange.endpoint_list.get(name).port == 9  # type: ignore[union-attr]
+    exchange.update_endpoints(UpdateScope.FULL, (), "other")
+    assert exchange.endpoint_list.get(name).port == 1  # type: ignore[union-attr]
+    exchange.update_endpoints(UpdateScope.FULL, [make_endpoint(name, 9)], "other")
     await source.provide_list()
-    assert exchange.table.get(name).port == 9  # type: ignore[union-attr]
+    assert exchange.endpoint_list.get(name).port == 9  # type: ignore[union-attr]
     exchange.ban(name)
-    assert exchange.table.names() == {name} and not source.listed()
+    assert exchange.endpoint_list.names() == {name} and not source.listed()
     exchange.attach(name)
-    exchange.list_instances(
+    exchange.update_endpoints(
         UpdateScope.DELTA, [replace(make_endpoint(name, 9), status=EndpointStatus.REMOVED)], "other"
     )
-    assert not exchange.table.names()
+    assert not exchange.endpoint_list.names()
 
 
 CHECKS: list[Check] = [
@@ -523,12 +523,12 @@
 
     def start(self) -> None:
         super().start()
-        original = self.desk.exchange.list_instances
+        original = self.desk.exchange.update_endpoints
 
         def clear_on_failure(scope: UpdateScope, entries: Any, source: str = "") -> None:
             original(UpdateScope.FULL if scope is UpdateScope.FAILED else scope, entries, source)
 
-        self.desk.exchange.list_instances = clear_on_failure  # type: ignore[method-assign,assignment]
+        self.desk.exchange.update_endpoints = clear_on_failure  # type: ignore[method-assign,assignment]
 
 
 class UsesWrongSource(Consul):
@@ -536,8 +536,8 @@
 
     def start(self) -> None:
         super().start()
-        original = self.desk.exchange.list_instances
-        self.desk.exchange.list_instances = lambda scope, entries, source="": original(  # type: ignore[method-assign,assignment]
+        original = self.desk.exchange.update_endpoints
+        self.desk.exchange.update_endpoints = lambda scope, entries, source="": original(  # type: ignore[method-assign,assignment]
             scope, entries, "other"
         )
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -53,7 +53,7 @@
 )
 
 
-def member(
+def endpoint_entry(
     target: str,
     dest: int = 1,
     kind: str = "plain",
@@ -72,12 +72,12 @@
         self.now = 1000 * SECOND_US
         self.timers: dict[int, int] = {}
         self.attempts_sent: dict[int, int] = {}
-        self.out: dict[tuple[int, int], str] = {}
+        self.attempts_in_flight: dict[tuple[int, int], str] = {}
         self.ended: dict[int, str] = {}
         self.log: list[tuple[int, Action]] = []
         self.next_ref = 0
         self.watch: Callable[[int, Action], None] = lambda now, action: None
-        self.step(EndpointListUpdate(UpdateScope.FULL, members or (member("t1"),)))
+        self.step(EndpointListUpdate(UpdateScope.FULL, members or (endpoint_entry("t1"),)))
 
     def step(self, *events: Event) -> list[Action]:
         """Pass one batch of events at the current time. Returns the actions."""
@@ -89,7 +89,7 @@
                 case Send():
                     attempt_number = self.attempts_sent.get(action.ref, 0)
                     self.attempts_sent[action.ref] = attempt_number + 1
-                    self.out[action.ref, attempt_number] = action.target
+                    self.attempts_in_flight[action.ref, attempt_number] = action.target
                 case Refuse() | Fail():
                     assert action.ref not in self.ended, f"message {action.ref} got two final answers"
                     self.ended[action.ref] = type(action).__name__
@@ -133,7 +133,7 @@
     ) -> list[Action]:
         """End the last attempt of a message. Returns the actions."""
         attempt_number = self.attempts_sent[ref] - 1
-        target = self.out.pop((ref, attempt_number))
+        target = self.attempts_in_flight.pop((ref, attempt_number))
         if result is Result.OK:
             self.ended.setdefault(ref, "Ok")
         return self.step(
@@ -143,7 +143,7 @@
         )
 
     def is_out(self, ref: int) -> bool:
-        return any(r == ref for r, _ in self.out)
+        return any(r == ref for r, _ in self.attempts_in_flight)
 
     def sends(self, since: int = 0) -> list[tuple[int, Send]]:
         return [(t, a) for t, a in self.log if isinstance(a, Send) and t >= since]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,11 +17,11 @@
 from rowanrack.app import Sender
 from rowanrack.config import Config, OtlpConfig, PlatformConfig
 from rowanrack.core.messages import Attempt, CallVerdict, End, Endpoint, Message
-from rowanrack.fronts.otlp.mapping import RequestMap, Source
+from rowanrack.fronts.otlp.mapping import RequestMap, ValueSource
 from rowanrack.lab.stand_in import Behaviour, Client, HttpServer
 from rowanrack.lab.stand_in import resp as resp
 from rowanrack.net.fair_scheduling import FairLoop
-from rowanrack.net.http import Call, HttpCaller, Reply, Request
+from rowanrack.net.http import Call, HttpClientConnection, Reply, Request
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import after as after  # for the tests
 from rowanspindle import EndpointStatus, Result, Settings, UpdateScope
@@ -183,11 +183,11 @@
 
 
 MAPPING = RequestMap(
-    Source(header="x-class", default="print-order"),
-    Source(attribute="service.namespace"),
-    Source(attribute="dest", default="7"),
-    Source(header="x-id"),
-    Source(header="x-left-ms"),
+    ValueSource(header="x-class", default="print-order"),
+    ValueSource(attribute="service.namespace"),
+    ValueSource(attribute="dest", default="7"),
+    ValueSource(header="x-id"),
+    ValueSource(header="x-left-ms"),
 )
 
 
@@ -261,7 +261,7 @@
         """Make destinations known whose endpoints have all been removed."""
         for status in (EndpointStatus.LISTED, EndpointStatus.REMOVED):
             update = [replace(make_endpoint(f"gone{dest}", 1, dest), status=status) for dest in dests]
-            self.sender.exchange.list_instances(UpdateScope.DELTA, update)
+            self.sender.exchange.update_endpoints(UpdateScope.DELTA, update)
 
     def _record(self, recorded: list[Any], update: Any) -> None:
         recorded.append(update)
@@ -287,7 +287,9 @@
         stream = await self.connect(1)
         header_fields = {"content_type": "application/x-protobuf"} | header_values
         headers = tuple((name.replace("_", "-"), value) for name, value in header_fields.items())
-        return await HttpCaller(stream, "otlp", 1 << 20, after).call(Call("POST", path, headers, body))
+        return await HttpClientConnection(stream, "otlp", 1 << 20, after).call(
+            Call("POST", path, headers, body)
+        )
 
     async def connect(self, front: int) -> Stream:
         """Open a connection to the platform front (0) or to the OTLP front (1)."""
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -55,7 +55,7 @@
     server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
     async with server:
         endpoint.port = server.sockets[0].getsockname()[1]
-        rig.sender.exchange.list_instances(UpdateScope.FULL, [make_endpoint("raw", endpoint.port)])
+        rig.sender.exchange.update_endpoints(UpdateScope.FULL, [make_endpoint("raw", endpoint.port)])
         yield endpoint
 
 
@@ -171,7 +171,7 @@
 def time_out(rig: Rig) -> None:
     """Time out the only attempt in progress."""
     exchange = rig.sender.exchange
-    (attempt,) = [a for message in exchange.messages.values() for a in message.out.values()]
+    (attempt,) = [a for message in exchange.messages.values() for a in message.attempts_out.values()]
     exchange._stop_waiting(attempt, Result.TIMEOUT)
 
 
@@ -241,7 +241,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        rig.sender.exchange.list_instances(
+        rig.sender.exchange.update_endpoints(
             UpdateScope.FULL, [make_endpoint("raw", listener.getsockname()[1])]
         )
         client = await rig.client()
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -14,8 +14,8 @@
 from rowanrack.load import load_shedder
 from rowanrack.net import listener as net_listener
 from rowanrack.net.http import Reply
-from rowanrack.net.listener import State
-from rowanrack.net.rare_log import WARNING_INTERVAL_S, RareLog
+from rowanrack.net.listener import ConnectionState
+from rowanrack.net.rate_limited_log import WARNING_INTERVAL_S, RateLimitedLog
 from rowanrack.net.stream import Stream
 from rowanspindle import UpdateScope
 from tests.rig import Rig, answers, make_endpoint, on_loop, resp, silent
@@ -50,7 +50,7 @@
     server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
     async with server:
         port = server.sockets[0].getsockname()[1]
-        rig.sender.exchange.list_instances(UpdateScope.FULL, [make_endpoint("raw", port)])
+        rig.sender.exchange.update_endpoints(UpdateScope.FULL, [make_endpoint("raw", port)])
         yield endpoint
 
 
@@ -109,7 +109,7 @@
         await client.stream.send(resp("PING") + b"*x\r\n")
         while await client.stream.fill():
             pass
-        assert client.stream.inward.read(99).startswith(b"+PONG\r\n-ERR Protocol error")
+        assert client.stream.receive_buffer.read(99).startswith(b"+PONG\r\n-ERR Protocol error")
 
 
 @on_loop
@@ -119,7 +119,7 @@
         sending = asyncio.create_task(client.stream.send(b"*1\r\n$60000000\r\n" + bytes(4 << 20)))
         while await client.stream.fill():
             pass
-        assert client.stream.inward.read(99) == b"-ERR Protocol error: a length is out of range\r\n"
+        assert client.stream.receive_buffer.read(99) == b"-ERR Protocol error: a length is out of range\r\n"
         sending.cancel()
 
 
@@ -134,8 +134,8 @@
         await client.stream.send(b"*x\r\n" + bytes(50_000))
         while await client.stream.fill():
             pass
-        assert client.stream.inward.read(4) == b"-ERR"
-        assert [state for state, _ in rig.sender.fronts[0][0].streams.values()] == [State.LEAVING]
+        assert client.stream.receive_buffer.read(4) == b"-ERR"
+        assert [state for state, _ in rig.sender.fronts[0][0].streams.values()] == [ConnectionState.LEAVING]
 
 
 @pytest.mark.parametrize(
@@ -152,13 +152,13 @@
     tmp_path: Path, front: int, partial_request: bytes, reply: bytes
 ) -> None:
     async with Rig(tmp_path) as rig:
-        rig.sender.fronts[front][0].owed_us = 1
+        rig.sender.fronts[front][0].request_timeout_us = 1
         stream = await rig.connect(front)
         if partial_request:
             await stream.send(partial_request)
         while await stream.fill():
             pass
-        assert stream.inward.read(len(reply) or 1) == reply
+        assert stream.receive_buffer.read(len(reply) or 1) == reply
 
 
 @on_loop
@@ -211,15 +211,15 @@
 @pytest.mark.parametrize(
     ("state", "min_age_us"),
     [
-        (State.OWING, net_listener.REQUEST_EVICTION_AGE_US),
-        (State.IDLE, net_listener.IDLE_EVICTION_AGE_US),
-        (State.LEAVING, 0),
-        (State.BUSY, None),
+        (ConnectionState.RECEIVING, net_listener.REQUEST_EVICTION_AGE_US),
+        (ConnectionState.IDLE, net_listener.IDLE_EVICTION_AGE_US),
+        (ConnectionState.LEAVING, 0),
+        (ConnectionState.BUSY, None),
     ],
 )
 @on_loop
 async def test_only_dispensable_connections_are_evicted(
-    tmp_path: Path, state: State, min_age_us: int | None
+    tmp_path: Path, state: ConnectionState, min_age_us: int | None
 ) -> None:
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
@@ -238,11 +238,11 @@
 async def test_a_connection_with_an_unread_request_is_not_evicted(tmp_path: Path) -> None:
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
-        front.owed_us = front.spared_us = 0
+        front.request_timeout_us = front.request_eviction_age_us = 0
         client = await rig.client()
         await client.command("PING")
         (served,) = front.streams
-        front.mark(served, State.OWING)
+        front.set_state(served, ConnectionState.RECEIVING)
         served._reader.feed_data(resp("PING"))
         assert not front._evict_connection()
         assert await client.raw(b"") == b"+PONG\r\n"
@@ -296,13 +296,13 @@
         assert not rig.sender.exchange.messages
         rig.add_removed_destinations(99)
         assert await client.submit("m2", dest=99) == b"+OK\r\n"
-        assert rig.sender.exchange.table.knows_destination(99, 0)
-        assert not rig.sender.exchange.table.knows_destination(99, 1 << 60)
+        assert rig.sender.exchange.endpoint_list.knows_destination(99, 0)
+        assert not rig.sender.exchange.endpoint_list.knows_destination(99, 1 << 60)
 
 
 def test_warnings_that_outsiders_cause_are_rate_limited(caplog: pytest.LogCaptureFixture) -> None:
     now = [0.0]
-    rate_limited = RareLog(logging.getLogger("rare"), lambda: now[0])
+    rate_limited = RateLimitedLog(logging.getLogger("rare"), lambda: now[0])
     for at in (0.0, 1.0, 2.0, WARNING_INTERVAL_S):
         now[0] = at
         rate_limited.warning("refused: %d", int(at))
@@ -316,5 +316,8 @@
         for _ in range(2):
             await (await rig.client()).command("PING")
         silent_stream, answered = front.streams
-        front.streams[silent_stream], front.streams[answered] = (State.OWING, 0), (State.IDLE, 0)
+        front.streams[silent_stream], front.streams[answered] = (
+            (ConnectionState.RECEIVING, 0),
+            (ConnectionState.IDLE, 0),
+        )
         assert front._evict_connection() and answered.closing and not silent_stream.closing
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -14,7 +14,7 @@
 
 from rowanrack.core.messages import Attempt, Batch, CallVerdict, End, Ending, Message
 from rowanrack.fronts.platform import bulk
-from rowanrack.fronts.platform.inbox import InboxForm, parse_pressure
+from rowanrack.fronts.platform.inbox import InboxCallProtocol, parse_pressure
 from rowanrack.net.http import Reply, Request
 from rowanspindle import Result, UpdateScope
 from tests.rig import Rig, answers, make_endpoint, on_loop
@@ -127,32 +127,36 @@
 def test_status_of_a_bulk_call_applies_to_all_attempts(
     status: int, headers: dict[str, str], result: Result, wait_us: int
 ) -> None:
-    found = InboxForm().verdicts(attempts("a", "b"), Reply(status, headers, b'[{"id":"a","state":"ok"}]'))
+    found = InboxCallProtocol().verdicts(
+        attempts("a", "b"), Reply(status, headers, b'[{"id":"a","state":"ok"}]')
+    )
     assert found == [CallVerdict(result, wait_us)] * 2
 
 
 def test_each_state_maps_to_an_outcome_and_the_wait_applies_to_all() -> None:
     names = ["ok", "error", "later", "gone", "exhausted"]
     body = json.dumps([{"id": n, "state": n} for n in names]).encode()
-    found = InboxForm().verdicts(attempts(*names, "none"), Reply(200, {"x-retry-in-ms": "40"}, body))
+    found = InboxCallProtocol().verdicts(attempts(*names, "none"), Reply(200, {"x-retry-in-ms": "40"}, body))
     results = [Result.OK, ERROR, FULL, MOOT, MOOT, ERROR]
     assert [v.result for v in found] == results and {v.wait_us for v in found} == {40_000}
-    assert [v.end for v in found] == [None, None, None, Ending.OVER, None, None]
+    assert [v.end for v in found] == [None, None, None, Ending.WITHDRAWN, None, None]
 
 
 def test_truncated_bulk_answer_delivers_nothing() -> None:
     body = b'[{"id":"a","state":"ok"},{"id":"b","state":"ok"}]'
-    found = InboxForm().verdicts(attempts("a", "b"), Reply(200, {}, body, whole=False))
+    found = InboxCallProtocol().verdicts(attempts("a", "b"), Reply(200, {}, body, complete=False))
     assert found == [CallVerdict(RESET)] * 2
-    assert InboxForm().verdicts(attempts("a"), Reply(200, {}, b"", whole=False)) == [CallVerdict(Result.OK)]
+    assert InboxCallProtocol().verdicts(attempts("a"), Reply(200, {}, b"", complete=False)) == [
+        CallVerdict(Result.OK)
+    ]
 
 
 @pytest.mark.parametrize("status", [400, 413])
 def test_after_a_rejected_bulk_call_messages_are_sent_singly(status: int) -> None:
-    form, pair = InboxForm(), attempts("a", "b")
-    assert form.part(pair) == 2
+    form, pair = InboxCallProtocol(), attempts("a", "b")
+    assert form.batch_size(pair) == 2
     form.verdicts(pair, Reply(status, {}))
-    assert form.part(pair) == 1 and form.call(pair[:1], 1000).target == "/inbox"
+    assert form.batch_size(pair) == 1 and form.call(pair[:1], 1000).target == "/inbox"
 
 
 @pytest.mark.parametrize(
@@ -176,8 +180,10 @@
 
 def test_only_pressure_fields_named_in_the_settings_are_used() -> None:
     reply = Reply(200, {"x-pressure": "x0=0.4,x1=25"})
-    assert InboxForm(("x1",)).verdicts(attempts("a"), reply) == [CallVerdict(Result.OK, 0, None, None, 25.0)]
-    assert InboxForm().verdicts(attempts("a"), reply) == [CallVerdict(Result.OK)]
+    assert InboxCallProtocol(("x1",)).verdicts(attempts("a"), reply) == [
+        CallVerdict(Result.OK, 0, None, None, 25.0)
+    ]
+    assert InboxCallProtocol().verdicts(attempts("a"), reply) == [CallVerdict(Result.OK)]
 
 
 # Tests with real sockets.
@@ -215,7 +221,7 @@
 
         def record_verdict(attempt: Attempt, verdict: CallVerdict | Result) -> None:
             assert isinstance(verdict, CallVerdict)
-            reported.append((verdict.left, verdict.limit))
+            reported.append((verdict.remaining_share, verdict.limit))
             settle(attempt, verdict)
 
         rig.sender.exchange.settle = record_verdict  # type: ignore[method-assign]
@@ -259,7 +265,7 @@
     async with Rig(tmp_path, answer_by_id, settings_changes=BULK_SETTINGS) as rig:
         await submit_together(rig, "a", "b", "c", cls="print-order")
         assert await rig.wait_for_end("a") == End(Ending.DELIVERED)
-        assert await rig.wait_for_end("b") == End(Ending.OVER)
+        assert await rig.wait_for_end("b") == End(Ending.WITHDRAWN)
         assert await rig.wait_for_end("c") == End(
             Ending.FAILED
         )  # it may have run, and its class forbids a retry
@@ -302,7 +308,7 @@
             server = await asyncio.start_server(accept, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             exchange, dest = rig.sender.exchange, 100 + cut
-            exchange.list_instances(UpdateScope.DELTA, [make_endpoint(f"s{cut}", port, dest)])
+            exchange.update_endpoints(UpdateScope.DELTA, [make_endpoint(f"s{cut}", port, dest)])
             names = [f"a{cut:03d}", f"b{cut:03d}"]
             for name in names:
                 deadline_us = exchange.clock.unix_us() + 3 * SECOND_US
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,7 +13,7 @@
 
 from rowanrack.net import listener as net_listener
 from rowanrack.net.http import Reply, Request
-from rowanrack.net.listener import ACCEPT_BATCH_COUNT, Listener, State
+from rowanrack.net.listener import ACCEPT_BATCH_COUNT, ConnectionState, Listener
 from rowanrack.net.stream import READ_CHUNK_BYTES, Stream, stream_protocol
 from tests.rig import Rig, answers, on_loop, resp, silent
 
@@ -25,7 +25,7 @@
 )
 PLATFORM, OTLP = 0, 1
 REQUESTS, ANSWERS = {PLATFORM: PING, OTLP: EXPORT}, {PLATFORM: b"+PONG", OTLP: b"HTTP/1.1 200"}
-LEAVE = pytest.mark.parametrize("leave", [Listener.drain, lambda front: front.lameduck(True)])
+LEAVE = pytest.mark.parametrize("leave", [Listener.drain, lambda front: front.set_lame_duck(True)])
 FRONT = pytest.mark.parametrize("number", [PLATFORM, OTLP])
 
 
@@ -51,24 +51,24 @@
                 return data + b"RESET"
         return data
 
-    async def wait_for_state(self, front: Listener, state: State) -> Stream:
+    async def wait_for_state(self, front: Listener, state: ConnectionState) -> Stream:
         """Wait until the only stream of the front is in a state, and return it."""
         while [at for at, _ in front.streams.values()] != [state]:
             await asyncio.sleep(0)
         return next(iter(front.streams))
 
 
-def run_after_state(front: Listener, state: State, action: Callable[[], None]) -> None:
+def run_after_state(front: Listener, state: ConnectionState, action: Callable[[], None]) -> None:
     """Run an action once, in the loop iteration after the one in which a connection enters a state."""
-    original_mark = front.mark
+    original_mark = front.set_state
 
-    def mark(stream: Stream, at: State) -> None:
+    def mark(stream: Stream, at: ConnectionState) -> None:
         original_mark(stream, at)
-        if at is state and front.mark is mark:
-            front.mark = original_mark  # type: ignore[method-assign]
+        if at is state and front.set_state is mark:
+            front.set_state = original_mark  # type: ignore[method-assign]
             asyncio.get_running_loop().call_soon(action)
 
-    front.mark = mark  # type: ignore[assignment, method-assign]
+    front.set_state = mark  # type: ignore[assignment, method-assign]
 
 
 @FRONT
@@ -92,7 +92,7 @@
         assert not any(data.endswith(b"RESET") for data in received)
         with pytest.raises(ConnectionRefusedError):
             SocketClient(front)
-        while not front.gone:
+        while not front.has_ended:
             await asyncio.sleep(0)
 
 
@@ -112,7 +112,7 @@
 
         client = SocketClient(front, PING)
         monkeypatch.setattr(socket.socket, "accept", accept_one)
-        await client.wait_for_state(front, State.IDLE)
+        await client.wait_for_state(front, ConnectionState.IDLE)
         assert accepted[1] is None
         front.drain()
         assert await client.read_all() == PONG
@@ -129,11 +129,11 @@
     async with Rig(tmp_path, answers(OK)) as rig:
         front, request = rig.sender.fronts[number][0], REQUESTS[number]
         client = SocketClient(front)
-        await client.wait_for_state(front, State.NEW)
+        await client.wait_for_state(front, ConnectionState.NEW)
         half = 6 if begun else 0
         client.send(request[:half])
         if begun:
-            await client.wait_for_state(front, State.OWING)
+            await client.wait_for_state(front, ConnectionState.RECEIVING)
         leave(front)
         for _ in range(5):
             await asyncio.sleep(0)
@@ -151,9 +151,9 @@
     monkeypatch.setattr(net_listener, "LEAVING_FIRST_BYTE_TIMEOUT_US", 1)
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
-        front.owed_us = 60_000_000
+        front.request_timeout_us = 60_000_000
         client = SocketClient(front)
-        await client.wait_for_state(front, State.NEW)
+        await client.wait_for_state(front, ConnectionState.NEW)
         leave(front)
         assert await client.read_all() == b""
 
@@ -167,7 +167,7 @@
     async with Rig(tmp_path, silent) as rig:
         front = rig.sender.fronts[0][0]
         client = SocketClient(front, PING)
-        await client.wait_for_state(front, State.IDLE)
+        await client.wait_for_state(front, ConnectionState.IDLE)
         command = submit(
             "m0",
             b"x"
@@ -209,7 +209,7 @@
         if busy:
             leave(front)
         else:
-            run_after_state(front, State.IDLE, lambda: leave(front))
+            run_after_state(front, ConnectionState.IDLE, lambda: leave(front))
         released.set()
         received = await client.read_all()
         assert received.count(b"HTTP/1.1 200") == 2 and not received.endswith(b"RESET")
@@ -226,9 +226,9 @@
                 front.streams[stream] = state, 0
             evictions.append(front._evict_connection())
 
-        run_after_state(front, State.IDLE, evict)
+        run_after_state(front, ConnectionState.IDLE, evict)
         client = SocketClient(front, PING * 2)
-        await client.wait_for_state(front, State.IDLE)
+        await client.wait_for_state(front, ConnectionState.IDLE)
         front.drain()
         assert await client.read_all() == PONG * 2 and evictions == [False]
 
@@ -238,7 +238,7 @@
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
         begun = SocketClient(front, PING[:5])
-        owing = await begun.wait_for_state(front, State.OWING)
+        owing = await begun.wait_for_state(front, ConnectionState.RECEIVING)
         silent_client = SocketClient(front)
         while len(front.streams) < 2:
             await asyncio.sleep(0)
@@ -247,7 +247,7 @@
         assert front._evict_connection() and owing in front.streams and not owing.closing
         assert await silent_client.read_all() == b""
         begun.send(PING[5:])
-        await begun.wait_for_state(front, State.IDLE)
+        await begun.wait_for_state(front, ConnectionState.IDLE)
 
 
 @pytest.mark.parametrize(
@@ -262,11 +262,11 @@
     async with Rig(tmp_path) as rig:
         front = rig.sender.fronts[0][0]
         client = SocketClient(front)
-        stream = await client.wait_for_state(front, State.NEW)
+        stream = await client.wait_for_state(front, ConnectionState.NEW)
         opened = front._now() - rested_us
-        front.streams[stream] = State.NEW, opened
+        front.streams[stream] = ConnectionState.NEW, opened
         client.send(PING[:5])
-        await client.wait_for_state(front, State.OWING)
+        await client.wait_for_state(front, ConnectionState.RECEIVING)
         _, since = front.streams[stream]
         late = rested_us >= net_listener.FIRST_BYTE_GRACE_US
         assert since == opened + net_listener.FIRST_BYTE_GRACE_US if late else since >= opened + rested_us
@@ -309,7 +309,7 @@
                 await asyncio.sleep(0)
         busy.sock.shutdown(socket.SHUT_WR)
         quiet.send(PING)
-        while [state for state, _ in front.streams.values()].count(State.IDLE) < 1:
+        while [state for state, _ in front.streams.values()].count(ConnectionState.IDLE) < 1:
             await asyncio.sleep(0)
         front.drain()
         assert await quiet.read_all() == PONG
@@ -329,14 +329,14 @@
     async with Rig(tmp_path, answers(OK)) as rig:
         front = rig.sender.fronts[number][0]
         client = SocketClient(front)
-        stream = await client.wait_for_state(front, State.NEW)
+        stream = await client.wait_for_state(front, ConnectionState.NEW)
         client.sock.setblocking(False)
         with pytest.raises(BlockingIOError):
             while True:  # until the kernel buffers are full, as nothing is read meanwhile
                 client.sock.send(REQUESTS[number] * 1000)
         for _ in range(20):
             await asyncio.sleep(0)
-            assert len(stream.inward) <= stream.inward.limit
+            assert len(stream.receive_buffer) <= stream.receive_buffer.limit
             assert len(stream._reader._buffer) <= 2 * READ_CHUNK_BYTES + MAX_TRANSPORT_READ_BYTES  # type: ignore[attr-defined]
         linger = (1).to_bytes(4, "little") + bytes(4)
         if reset:
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -120,20 +120,20 @@
 def test_stored_outages_are_used_only_while_fresh(
     tmp_path: Path, later_us: int, expected: tuple[Outage, ...]
 ) -> None:
-    OutageFile(tmp_path).keep(KNOWN_OUTAGES, NOW_US)
+    OutageFile(tmp_path).write_if_changed(KNOWN_OUTAGES, NOW_US)
     assert OutageFile(tmp_path).read(NOW_US + later_us, VALID_US) == expected
 
 
 def test_outage_stored_repeatedly_stays_fresh(tmp_path: Path) -> None:
     outage_file = OutageFile(tmp_path)
     for time_us in range(NOW_US, NOW_US + 10 * SECOND_US, SECOND_US // 5):
-        outage_file.keep(KNOWN_OUTAGES, time_us)
+        outage_file.write_if_changed(KNOWN_OUTAGES, time_us)
     assert outage_file.read(time_us + SECOND_US, VALID_US) == KNOWN_OUTAGES
 
 
 def test_truncated_or_foreign_outage_file_does_not_prevent_a_start(tmp_path: Path) -> None:
     outage_file = OutageFile(tmp_path)
-    outage_file.keep(KNOWN_OUTAGES, NOW_US)
+    outage_file.write_if_changed(KNOWN_OUTAGES, NOW_US)
     content = outage_file.path.read_bytes()
     truncated = [content[:length] for length in range(len(content))]
     for damaged in (
@@ -151,9 +151,9 @@
     folder, away = tmp_path / "state", tmp_path / "away"
     folder.mkdir()
     outage_file = OutageFile(folder)
-    outage_file.keep(KNOWN_OUTAGES[:1], NOW_US)
+    outage_file.write_if_changed(KNOWN_OUTAGES[:1], NOW_US)
     folder.rename(away)
-    outage_file.keep(KNOWN_OUTAGES, NOW_US + 1)  # the folder does not exist
+    outage_file.write_if_changed(KNOWN_OUTAGES, NOW_US + 1)  # the folder does not exist
     away.rename(folder)
-    outage_file.keep(KNOWN_OUTAGES, NOW_US + 2)
+    outage_file.write_if_changed(KNOWN_OUTAGES, NOW_US + 2)
     assert outage_file.read(NOW_US + 2, VALID_US) == KNOWN_OUTAGES
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -99,7 +99,7 @@
         ]
         agent = FakeAgent(services=[(3, {"labs": ["sender"], "other": []})], labs=labs)
         async with agent:
-            rig.sender.exchange.list_instances(UpdateScope.FULL, ())
+            rig.sender.exchange.update_endpoints(UpdateScope.FULL, ())
             source = ConsulSource(rig.sender.exchange, ("127.0.0.1", agent.port), (), "sender")
             rig.callback(source.close)
             source.start()
@@ -129,4 +129,4 @@
             await agent.wait_for_requests(6)
             indexes = [int(r.target.partition("index=")[2].partition("&")[0]) for r in agent.requests]
             assert indexes == [0, 8, 0, 9, 0, 3]
-            assert not rig.sender.exchange.table.names()
+            assert not rig.sender.exchange.endpoint_list.names()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -36,7 +36,7 @@
         )
         self.exchange.endpoint_calls = self
         self.exchange.listeners["platform"] = lambda m, end: self.ends.update({m.id: end})
-        self.exchange.list_instances(UpdateScope.FULL, [make_endpoint("i0", 1)])
+        self.exchange.update_endpoints(UpdateScope.FULL, [make_endpoint("i0", 1)])
 
     def now_us(self) -> int:
         return self.now
@@ -78,7 +78,7 @@
 ) -> None:
     harness = ExchangeHarness(tmp_path)
     attempt = harness.submit("m1")
-    harness.exchange.list_instances(UpdateScope.DELTA, [replace(make_endpoint("i0", 1), status=status)])
+    harness.exchange.update_endpoints(UpdateScope.DELTA, [replace(make_endpoint("i0", 1), status=status)])
     assert not harness.exchange.begin(attempt) and harness.abandoned == [attempt]
 
 
@@ -150,11 +150,11 @@
 
 def test_full_list_replaces_only_entries_of_its_source(tmp_path: Path) -> None:
     harness = ExchangeHarness(tmp_path)
-    harness.exchange.list_instances(
+    harness.exchange.update_endpoints(
         UpdateScope.FULL, [make_endpoint("c0", 2), make_endpoint("c1", 3)], "consul"
     )
-    harness.exchange.list_instances(UpdateScope.FULL, [make_endpoint("c1", 3)], "consul")
-    assert harness.exchange.table.names() == {"i0", "c1"}
+    harness.exchange.update_endpoints(UpdateScope.FULL, [make_endpoint("c1", 3)], "consul")
+    assert harness.exchange.endpoint_list.names() == {"i0", "c1"}
 
 
 def test_wheel_fires_in_order_at_whole_ticks_and_never_early() -> None:
--- a/tests/test_data_structures.py
+++ b/tests/test_data_structures.py
@@ -15,7 +15,7 @@
 from rowanspindle.data_structures import DeadlineQueue, PriorityQueue, TimeSortedList
 from rowanspindle.held_messages import HeldMessages, Message, urgency_breakpoints
 from rowanspindle.logic import Forwarder
-from tests.helpers import BASE, KEYED, SAFE, SECOND_US, UNSAFE, ZONED, Caller, member
+from tests.helpers import BASE, KEYED, SAFE, SECOND_US, UNSAFE, ZONED, Caller, endpoint_entry
 
 KEYS, TIMES = st.integers(0, 12), st.integers(0, 40)
 STEPS = st.lists(st.tuples(st.sampled_from(["set", "set", "set", "drop", "due"]), KEYS, TIMES), max_size=300)
@@ -139,7 +139,7 @@
 
 @given(st.lists(st.integers(1, 20 * SECOND_US), min_size=1, max_size=60), st.sampled_from([SAFE, UNSAFE]))
 def test_the_least_valuable_message_matches_a_full_scan(times_left_us: list[int], cls: MessageClass) -> None:
-    caller = Caller(member("t1", weight=2.0))
+    caller = Caller(endpoint_entry("t1", weight=2.0))
     forwarder = caller.forwarder
     destination = forwarder.destinations[1]
     destination.held = held_messages(cls, times_left_us, forwarder.now)
@@ -159,7 +159,7 @@
     message.first_attempt_zone = "z"
     held.add(message, message.group_for(True))
     assert not list(held.refusable()) and [zone for _, zone, _ in held.sendable()] == ["z"]
-    assert held.move(message, message.group_for(False)) and not list(held.sendable())
+    assert held.move_to_group(message, message.group_for(False)) and not list(held.sendable())
     held.remove(message)
     assert not held and not held.groups
     with pytest.raises(KeyError):
@@ -168,7 +168,7 @@
 
 def calls_of_one_arrival(held: int, dests: int, count_calls: Callable[[Callable[[], object]], int]) -> int:
     """Return the Python function calls of one arrival, with `held` messages held and the hold nearly full."""
-    listed = [member(f"t{n}", dest=n) for n in range(dests)]
+    listed = [endpoint_entry(f"t{n}", dest=n) for n in range(dests)]
     caller = Caller(*listed, slots=4, most_held=int(held / 0.92), tenants={})
     for n in range(held):
         caller.now += 1000
@@ -206,7 +206,7 @@
 
 def test_a_freed_slot_does_not_cause_an_update_of_every_destination() -> None:
     """After a time with all slots in use, one round updated every destination that had changed."""
-    listed = [member(f"t{n}", dest=n) for n in range(1000)]
+    listed = [endpoint_entry(f"t{n}", dest=n) for n in range(1000)]
     caller = Caller(*listed, slots=2, most_held=5000, tenants={})
     for n in range(1000):
         caller.now += 1000
@@ -221,6 +221,6 @@
     forwarder.refresh_pick = recording_look  # type: ignore[method-assign]
     caller.end(caller.sends()[0][1].ref)
     assert caller.sends()[-1][0] == caller.now and len(updated_destinations) <= 100
-    for ref, _ in list(caller.out):
+    for ref, _ in list(caller.attempts_in_flight):
         caller.end(ref)  # the other destinations are updated in later rounds
     assert len(set(updated_destinations)) > 100
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -79,16 +79,16 @@
     if then_completes:
         assert desk.exchange.begin(attempt)
         desk.exchange.settle(attempt, Result.OK)
-        assert read_journal(tmp_path).ends.keys() == {"m1"} and not desk.journal.behind()
+        assert read_journal(tmp_path).ends.keys() == {"m1"} and not desk.journal.has_unwritten_records()
         return
     accepted = [n for n in range(200) if desk.exchange.submit(make_message(desk, str(n))) is None]
     assert 3 < len(accepted) < 100  # as many as fit into the space already reserved
     assert desk.exchange.begin(attempt)
     desk.exchange.settle(attempt, Result.OK)
-    assert read_journal(tmp_path).ends.keys() == {"m1"} and not desk.journal.behind()
+    assert read_journal(tmp_path).ends.keys() == {"m1"} and not desk.journal.has_unwritten_records()
     disk.mode = "room"
     desk.run(200_000)
-    assert desk.journal.recording() and desk.exchange.submit(make_message(desk, "more")) is None
+    assert desk.journal.can_record() and desk.exchange.submit(make_message(desk, "more")) is None
     lines = [r.message for r in caplog.records if r.levelno >= logging.WARNING]
     assert len(lines) == 2 and "no new messages" in lines[0] and "room again" in lines[1]
 
@@ -136,7 +136,7 @@
     assert desk.exchange.begin(first) and desk.exchange.submit(make_message(desk, "m2")) is None
     disk.mode = "refuses"
     desk.exchange.settle(first, Result.OK)
-    assert desk.ends == {"m1": End(Ending.DELIVERED)} and desk.exchange.known("m1") == desk.ends["m1"]
+    assert desk.ends == {"m1": End(Ending.DELIVERED)} and desk.exchange.find_message("m1") == desk.ends["m1"]
     desk.run(2 * SECOND_US)
     assert desk.calls == [first] and 2 <= desk.exchange.messages["m2"].attempts_made <= 5
     assert desk.exchange.forwarder.endpoints["i0"].out_since is None
@@ -165,10 +165,10 @@
 async def test_readiness_reports_that_the_journal_cannot_write(tmp_path: Path, disk: FaultyDisk) -> None:
     async with Rig(tmp_path, answers(Reply(200, {}))) as rig:
         client = await rig.client()
-        assert rig.sender.ready() and rig.sender.unready() == ""
+        assert rig.sender.ready() and rig.sender.unready_reason() == ""
         disk.mode = "refuses"
         assert (await client.submit("m1")).startswith(b"-BUSY")
-        assert rig.sender.unready() == "the journal records nothing new: No space left on device"
+        assert rig.sender.unready_reason() == "the journal records nothing new: No space left on device"
         assert not rig.sender.ready()
         disk.mode = "room"
         assert rig.sender.ready()
@@ -200,7 +200,7 @@
                 journal.never_ran(message, attempt_number)
         for message in owed:
             journal.end(message, End(Ending.FAILED))
-            journal.told(message.id)
+            journal.confirm_notice(message.id)
         assert journal.file is not None and journal.file.size <= journal.file.reserved_end
         now[0] += 100 * SECOND_US  # all ends are expired
     assert max(sizes) <= budget
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 from rowanrack.model.world import World
 from rowanspindle import Result
 from rowanspindle.connection_reuse import ConnectionReuse
-from tests.helpers import BASE, Caller, member
+from tests.helpers import BASE, Caller, endpoint_entry
 
 FLEET_SCENARIO = """
 day {day} s
@@ -79,14 +79,16 @@
 
 def test_configured_limit_paces_from_the_start_where_refusals_have_a_price() -> None:
     """Regression: answers raised the pace by the share of all forty, refusals cut one's: 37 % refused."""
-    caller = Caller(member("t1", weight=20.0), replicas=40, weights_exact=True, refused_price=0.1)
+    caller = Caller(endpoint_entry("t1", weight=20.0), replicas=40, weights_exact=True, refused_price=0.1)
     limit = caller.forwarder.endpoints["t1"].shared_limit
     assert limit.pace == 20.0
     caller.end(caller.accept(), Result.FULL, wait_us=SECOND_US // 2)
     pace_after_refusal, paces = limit.pace, []
     for _ in range(30):
         caller.wait(5 * SECOND_US)
-        for ref in {r for r, _ in caller.out} | ({caller.accept()} if not caller.out else set()):
+        for ref in {r for r, _ in caller.attempts_in_flight} | (
+            {caller.accept()} if not caller.attempts_in_flight else set()
+        ):
             if caller.is_out(ref):
                 caller.end(ref)
         paces.append(limit.pace)
@@ -99,5 +101,5 @@
 
 
 def test_configured_limit_does_not_pace_where_refusals_are_free() -> None:
-    caller = Caller(member("t1", weight=20.0), replicas=40, weights_exact=True)
+    caller = Caller(endpoint_entry("t1", weight=20.0), replicas=40, weights_exact=True)
     assert caller.forwarder.endpoints["t1"].shared_limit.pace is None
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -29,7 +29,7 @@
         pool, (server,) = rig.sender.pool, rig.servers
         assert len(pool.idle["i0"]) == 1
         (serving,) = server.tasks
-        rig.sender.exchange.list_instances(
+        rig.sender.exchange.update_endpoints(
             UpdateScope.DELTA, [replace(rig.known_endpoints[0], status=status)]
         )
         await asyncio.wait({serving})  # the endpoint has seen the end of its connection
@@ -48,7 +48,7 @@
         await (await rig.client()).submit("m1")
         await rig.servers[0].wait_for_requests(1)
         (serving,) = rig.servers[0].tasks
-        rig.sender.exchange.list_instances(UpdateScope.FULL, ())
+        rig.sender.exchange.update_endpoints(UpdateScope.FULL, ())
         answer.set()
         await rig.wait_for_end("m1")
         assert not rig.sender.pool.idle
@@ -61,18 +61,18 @@
     async with Rig(tmp_path, answers(OK)) as rig:
         client, exchange = await rig.client(), rig.sender.exchange
         for n in range(100):
-            exchange.list_instances(UpdateScope.FULL, [make_endpoint(f"n{n}", rig.servers[0].port)])
+            exchange.update_endpoints(UpdateScope.FULL, [make_endpoint(f"n{n}", rig.servers[0].port)])
             exchange._retry_after_waits.set(f"n{n}", 1 << 60)
             await client.submit(f"m{n}")
             await rig.wait_for_end(f"m{n}")
-        exchange.list_instances(UpdateScope.FULL, ())
+        exchange.update_endpoints(UpdateScope.FULL, ())
         exchange.pump()
         assert (
             not rig.sender.pool.idle and not rig.sender.pool._idle_by_age and not exchange._retry_after_waits
         )
         forwarder = exchange.forwarder
         assert not forwarder.endpoints and not forwarder.unlisted and not forwarder.attempts
-        assert not exchange.table.names() and not exchange._messages_by_ref
+        assert not exchange.endpoint_list.names() and not exchange._messages_by_ref
 
 
 @pytest.mark.parametrize(
@@ -90,13 +90,13 @@
 ) -> None:
     """Final answers used to be kept for 30 s, so memory kept growing at a high message rate."""
     now = [0]
-    journal = Journal(tmp_path, 3_000_000, lambda: now[0], keep_us_of={"platform": 1_000_000})
+    journal = Journal(tmp_path, 3_000_000, lambda: now[0], retention_us_by_front={"platform": 1_000_000})
     journal.open()
     message = Message("m", "c", "t", 3, 5_000_000, b"", "platform")
     journal.take(message)
     journal.end(message, End(end))
     if notice_sent:
-        journal.told("m")
+        journal.confirm_notice("m")
     now[0] = 5_000_000 + after_s * 1_000_000
     for n in range(EXPIRY_CHECK_END_COUNT):
         journal.end(Message(str(n), "c", "t", 3, 0, b"", "platform"), End(Ending.DELIVERED))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -11,7 +11,7 @@
 
 from rowanrack.core.messages import End, Ending, Message
 from rowanrack.fronts.otlp import OtlpError
-from rowanrack.fronts.otlp.mapping import Source
+from rowanrack.fronts.otlp.mapping import ValueSource
 from rowanrack.fronts.platform.clients import read_submit
 from rowanrack.fronts.platform.resp import RespError
 from rowanrack.net.http import Reply
@@ -106,7 +106,7 @@
     second_process = Journal(tmp_path, 3_000_000, lambda: now[0])  # the second process of a hot restart
     second_process.open()
     reopened.close()
-    (taken_over,) = second_process.absorb() or []
+    (taken_over,) = second_process.take_over() or []
     assert (taken_over.key, taken_over.unsettled) == ("k1", {0: 1000 * SECOND_US, 1: 1001 * SECOND_US})
     second_process.close()
 
@@ -199,11 +199,11 @@
 
 
 def test_otlp_key_comes_from_the_map_or_else_the_id() -> None:
-    mapping = replace(MAPPING, cls=Source(default="entry-fee"), key=Source(header="x-key"))
+    mapping = replace(MAPPING, cls=ValueSource(default="entry-fee"), key=ValueSource(header="x-key"))
 
     def key(**headers: str) -> str:
         named = {name.replace("_", "-"): value for name, value in headers.items()}
-        return mapping.message(PARSED, named, (), b"x", "logs j", 0).key
+        return mapping.build_message(PARSED, named, (), b"x", "logs j", 0).key
 
     assert key(x_id="m1", x_key="k1") == "k1"
     assert key(x_id="m1") == "m1"
@@ -211,4 +211,7 @@
     assert len(key(x_id="m 1")) == 32
     with pytest.raises(OtlpError, match="bad key"):
         key(x_id="m1", x_key="k 1")
-    assert replace(mapping, cls=Source(default="print-order")).message(PARSED, {}, (), b"", "", 0).key == ""
+    assert (
+        replace(mapping, cls=ValueSource(default="print-order")).build_message(PARSED, {}, (), b"", "", 0).key
+        == ""
+    )
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -25,7 +25,7 @@
 from rowanrack.net.ring import RingBuffer
 from rowanrack.net.stream import Stream
 from rowanspindle import EndpointStatus, Settings, UpdateScope
-from rowanspindle.held_messages import NEVER
+from rowanspindle.held_messages import NEVER_US
 from rowanspindle.list_watch import ListWatch
 from rowanspindle.wire import parse_settings
 from tests import rig as rig_module
@@ -61,7 +61,7 @@
     """The sender's end of a connection, in place of a `Stream`."""
 
     def __init__(self, receiver: CallReceiver, port: int) -> None:
-        self.receiver, self.port, self.inward = receiver, port, RingBuffer(96 * 1024)
+        self.receiver, self.port, self.receive_buffer = receiver, port, RingBuffer(96 * 1024)
         self.ended = self.unread = False
         self._more = asyncio.Event()
 
@@ -71,13 +71,13 @@
         self.receiver.called(self, data.decode())
 
     async def fill(self) -> bool:
-        while not len(self.inward) and not self.ended:
+        while not len(self.receive_buffer) and not self.ended:
             self._more.clear()
             await self._more.wait()
-        return len(self.inward) > 0
+        return len(self.receive_buffer) > 0
 
     def feed(self, data: bytes) -> None:
-        self.inward.write(data)
+        self.receive_buffer.write(data)
         self._more.set()
 
     def end(self) -> None:
@@ -109,7 +109,7 @@
         self._waiting: list[tuple[FakeStream, int]] = []
         self.outage: Outage | None = None
         self.watch = DiscoveryWatch(self.exchange, "discovery", OLD_PORT, 5)
-        self.exchange.watch = self.watch.watch
+        self.exchange.request_list = self.watch.start
         self.at(change_at_s, lambda: self.change(discovery_entry("i0", 1, health="DRAINING")))
 
     @property
@@ -169,7 +169,7 @@
         await advance_time(self.desk, self.began + round(until_s * SECOND_US), self._observe)
 
     def _observe(self) -> None:
-        listed = self.exchange.table.listed("i0")
+        listed = self.exchange.endpoint_list.accepts_calls("i0")
         if self.known_s is None and not listed:
             self.known_s = self.now_s
         self.reverted |= self.known_s is not None and listed
@@ -461,7 +461,7 @@
 
     fake.at(3.0, restart_versions)
     await fake.run(17)
-    assert fake.exchange.table.names() == {"i1"}
+    assert fake.exchange.endpoint_list.names() == {"i1"}
     assert [c[2] for c in fake.calls].count("/v1/servers") == 1 and fake.calls[-1][2].startswith(
         "/v1/servers?index=2&"
     )
@@ -507,17 +507,17 @@
     """
     fake = make_discovery(change_at_s=5.0)
     fake.hosts["i1"] = (5, discovery_entry("i1", 2))
-    fake.exchange.list_instances(UpdateScope.FULL, [make_endpoint("i0", 1), make_endpoint("i1", 2)])
+    fake.exchange.update_endpoints(UpdateScope.FULL, [make_endpoint("i0", 1), make_endpoint("i1", 2)])
     fake.at(3.0, lambda: fake.change(discovery_entry("i1", 2) | bad))
     fake.at(4.0, lambda: fake.change(discovery_entry("i2", 3)))
     await fake.run(4.5)
-    assert fake.exchange.table.names() == {"i0", "i2"}
+    assert fake.exchange.endpoint_list.names() == {"i0", "i2"}
     await fake.run(20)
     assert fake.known_s is not None and fake.known_s <= 5.2
     assert fake.connect_count == 1 and len(fake.calls) <= 9
     fake.change(discovery_entry("i1", 2))
     await fake.run(21)
-    assert fake.exchange.table.listed("i1")
+    assert fake.exchange.endpoint_list.accepts_calls("i1")
 
 
 @pytest.mark.parametrize(("later_handlers", "max_s"), [((), 3.05), ((never_answer,), 5.1)])
@@ -530,7 +530,7 @@
     )
     await fake.run(20)
     assert fake.known_s is not None and fake.known_s <= max_s
-    assert fake.exchange.table.names() == {"i0"}
+    assert fake.exchange.endpoint_list.names() == {"i0"}
 
 
 @in_virtual_time
@@ -551,11 +551,13 @@
     make_discovery: Callable[..., FakeDiscovery],
 ) -> None:
     fake = make_discovery(never_answer, change_at_s=99)
-    assert fake.exchange.table.listed("i0")
+    assert fake.exchange.endpoint_list.accepts_calls("i0")
     await fake.run(0)
     assert fake.calls == [(0.0, OLD_PORT, "/v1/servers?index=5&wait=10000")]
     await fake.run(30)
-    assert fake.exchange.table.listed("i0")  # an unchanged list or no answer removes no endpoint
+    assert fake.exchange.endpoint_list.accepts_calls(
+        "i0"
+    )  # an unchanged list or no answer removes no endpoint
 
 
 @in_virtual_time
@@ -564,15 +566,15 @@
 ) -> None:
     """Guards against recording the version of a list that was not applied, whose changes were then lost."""
     fake = make_discovery()
-    list_instances, failures = fake.exchange.list_instances, list[int]()
+    update_endpoints, failures = fake.exchange.update_endpoints, list[int]()
 
     def fails_once(*args: Any) -> None:
         if not failures and args[1]:
             failures.append(1)
             raise ZeroDivisionError
-        list_instances(*args)
+        update_endpoints(*args)
 
-    fake.exchange.list_instances = fails_once  # type: ignore[method-assign,assignment]
+    fake.exchange.update_endpoints = fails_once  # type: ignore[method-assign,assignment]
     await fake.run(6)
     assert failures and fake.known_s is not None and fake.known_s <= 3.2
 
@@ -585,9 +587,9 @@
     fake = make_discovery(change_at_s=0.0)
     fake.watch = DiscoveryWatch(fake.exchange, "discovery", OLD_PORT, 5, pushed=True)
     fake.change(discovery_entry("i9", 9))
-    first = asyncio.ensure_future(fake.watch.first())
+    first = asyncio.ensure_future(fake.watch.wait_for_first_list())
     await fake.run(0.02)
-    assert first.done() and "i9" in fake.exchange.table.names() and fake.known_s is not None
+    assert first.done() and "i9" in fake.exchange.endpoint_list.names() and fake.known_s is not None
     for handlers, until_s in (
         ((), 0.02),
         ((never_answer,), discovery.FIRST_LIST_TIMEOUT_US / SECOND_US + 0.02),
@@ -595,7 +597,7 @@
         # An unchanged list or no answer must not block the start.
         unchanged = make_discovery(*handlers, change_at_s=99.0)
         unchanged.watch = DiscoveryWatch(unchanged.exchange, "discovery", OLD_PORT, 5, pushed=True)
-        first = asyncio.ensure_future(unchanged.watch.first())
+        first = asyncio.ensure_future(unchanged.watch.wait_for_first_list())
         await unchanged.run(until_s)
         assert first.done()
 
@@ -612,7 +614,7 @@
         rig.platform.broken_replies = [Reply(200, {}, json.dumps(doc).encode())]
         monkeypatch.setattr(rig_module, "PlatformConfig", functools.partial(PlatformConfig, pushed=True))
         await rig.start()
-        assert not rig.sender.exchange.table.listed("i0") and not rig.sender.pool.tasks
+        assert not rig.sender.exchange.endpoint_list.accepts_calls("i0") and not rig.sender.pool.tasks
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
@@ -635,7 +637,7 @@
     config = config_of(tmp_path, "pushed", {} if grace_ms is None else {"drain_grace_us": grace_ms * 1000})
     list_watch = ListWatch(config.settings)
     for _ in range(12):
-        list_watch.failed(0, Random(1))
+        list_watch.record_failure(0, Random(1))
         assert 0.1 * SECOND_US <= list_watch.next_request_at <= max_s * SECOND_US
 
 
@@ -665,16 +667,16 @@
     list_watch, now = ListWatch(settings), 0
     pauses = []
     for _ in range(12):
-        list_watch.failed(now, Random(1))
+        list_watch.record_failure(now, Random(1))
         pauses.append(list_watch.next_request_at - now)
         now = list_watch.next_request_at
     assert pauses == sorted(pauses) and pauses[0] >= 0.1 * SECOND_US and pauses[-1] <= max_s * SECOND_US
-    list_watch.listed()
-    list_watch.failed(now, Random(1))
+    list_watch.record_update()
+    list_watch.record_failure(now, Random(1))
     assert list_watch.next_request_at - now == pauses[0]
     pushed = ListWatch(replace(settings, on_request=False))
-    pushed.failed(now, Random(1))
-    assert pushed.next_request_at == NEVER  # where changes are sent without a request
+    pushed.record_failure(now, Random(1))
+    assert pushed.next_request_at == NEVER_US  # where changes are sent without a request
 
 
 def test_each_status_of_the_protocol_is_mapped() -> None:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -37,7 +37,7 @@
     """Simulate spans in which every round is late and new clients use a share of the CPU time."""
     for _ in range(count):
         for _ in range(10):
-            load_shedder.spent(new_client_share * load.WINDOW_US / 10)
+            load_shedder.charge(new_client_share * load.WINDOW_US / 10)
             load_shedder._test_now += load.WINDOW_US // 10  # type: ignore[attr-defined]
             load_shedder.record_delay(load_shedder._test_now, late_us)  # type: ignore[attr-defined]
 
@@ -52,8 +52,8 @@
 @pytest.mark.parametrize(
     ("late_us", "level", "refuses"),
     [
-        (0, Level.CALM, False),
-        (load.ELEVATED_DELAY_US - MILLISECOND_US, Level.CALM, False),
+        (0, Level.NORMAL, False),
+        (load.ELEVATED_DELAY_US - MILLISECOND_US, Level.NORMAL, False),
         (load.ELEVATED_DELAY_US, Level.ELEVATED, False),
         (load.OVERLOAD_DELAY_US - MILLISECOND_US, Level.ELEVATED, False),
         (load.OVERLOAD_DELAY_US, Level.OVERLOADED, True),
@@ -69,7 +69,7 @@
 def test_one_late_iteration_in_a_span_does_not_change_the_level(load_shedder: LoadShedder) -> None:
     for n in range(60):
         load_shedder.record_delay(n * 10 * MILLISECOND_US, 400 * MILLISECOND_US if n == 30 else 0)
-    assert load_shedder.level is Level.CALM
+    assert load_shedder.level is Level.NORMAL
 
 
 def test_a_span_in_which_nothing_ran_counts_as_late(load_shedder: LoadShedder) -> None:
@@ -89,7 +89,7 @@
             load_shedder.refused_share = 0.0  # a share above 0 would keep the level
             run_spans(load_shedder, easy, 0)
         levels.append(load_shedder.level)
-    assert levels == [Level.OVERLOADED, Level.OVERLOADED, Level.OVERLOADED, Level.ELEVATED, Level.CALM]
+    assert levels == [Level.OVERLOADED, Level.OVERLOADED, Level.OVERLOADED, Level.ELEVATED, Level.NORMAL]
 
 
 def test_an_overload_logs_one_line_at_its_begin_and_one_at_its_end(
@@ -111,20 +111,20 @@
     load_shedder: LoadShedder,
 ) -> None:
     run_spans(load_shedder, 3, 0, new_client_share=0.08)
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (
+    assert (load_shedder.penalty_us, load_shedder.max_penalized(200)) == (
         load.MIN_PENALTY_US,
         load.MIN_PENALTY_COUNT,
     )
     run_spans(
         load_shedder, 30, load.OVERLOAD_DELAY_US, new_client_share=0.08
     )  # over their share when the core is full
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (load.MAX_PENALTY_US, 100)
+    assert (load_shedder.penalty_us, load_shedder.max_penalized(200)) == (load.MAX_PENALTY_US, 100)
     run_spans(load_shedder, 30, load.OVERLOAD_DELAY_US, new_client_share=0.02)
-    assert (load_shedder.penalty_us, load_shedder.penalties(200)) == (
+    assert (load_shedder.penalty_us, load_shedder.max_penalized(200)) == (
         load.MIN_PENALTY_US,
         load.MIN_PENALTY_COUNT,
     )
-    assert load_shedder.penalties(16) == load.MIN_PENALTY_COUNT
+    assert load_shedder.max_penalized(16) == load.MIN_PENALTY_COUNT
 
 
 def test_the_share_of_early_refusals_follows_the_load(load_shedder: LoadShedder) -> None:
@@ -155,18 +155,18 @@
 def test_new_connections_are_paced_to_the_share_of_new_clients_on_a_full_core(
     load_shedder: LoadShedder,
 ) -> None:
-    load_shedder.wasted(10 * SECOND_US)
-    assert load_shedder.pace_us(0) == 0  # the core has room
+    load_shedder.charge_wasted(10 * SECOND_US)
+    assert load_shedder.pacing_delay_us(0) == 0  # the core has room
     run_spans(load_shedder, 1, load.ELEVATED_DELAY_US)
     now, taken = load.WINDOW_US, 0
-    load_shedder.pace_us(now)
+    load_shedder.pacing_delay_us(now)
     load_shedder._debt_us = 0.0
     while now < 20 * SECOND_US:  # each connection comes as soon as it may, and costs 1 ms
-        if wait_us := load_shedder.pace_us(now):
+        if wait_us := load_shedder.pacing_delay_us(now):
             assert wait_us <= load.MAX_PACING_DELAY_US
             now += wait_us
         else:
-            load_shedder.wasted(1 * MILLISECOND_US)
+            load_shedder.charge_wasted(1 * MILLISECOND_US)
             now, taken = now + 1 * MILLISECOND_US, taken + 1
     share = load.NEW_CLIENT_SHARES[Level.ELEVATED]
     assert taken * MILLISECOND_US == pytest.approx(19.5 * SECOND_US * share + load.MAX_DEBT_US, rel=0.05)
@@ -175,12 +175,12 @@
 def test_the_core_counts_as_full_while_new_clients_are_paced(load_shedder: LoadShedder) -> None:
     run_spans(load_shedder, 1, load.ELEVATED_DELAY_US)
     for _ in range(3 * load.EASE_WINDOW_COUNT):
-        load_shedder.wasted(5 * SECOND_US)
-        assert load_shedder.pace_us(load_shedder._test_now)  # type: ignore[attr-defined]
+        load_shedder.charge_wasted(5 * SECOND_US)
+        assert load_shedder.pacing_delay_us(load_shedder._test_now)  # type: ignore[attr-defined]
         run_spans(load_shedder, 1, 0)
     levels = [load_shedder.level]
     run_spans(load_shedder, load.EASE_WINDOW_COUNT, 0)
-    assert [*levels, load_shedder.level] == [Level.ELEVATED, Level.CALM]
+    assert [*levels, load_shedder.level] == [Level.ELEVATED, Level.NORMAL]
 
 
 class RecordingDelayMonitor:
@@ -192,7 +192,7 @@
     def record_delay(self, now_us: int, late_us: int) -> None:
         self.delays.append(late_us)
 
-    def pace_us(self, now_us: int) -> int:
+    def pacing_delay_us(self, now_us: int) -> int:
         return self.pace
 
 
@@ -338,13 +338,13 @@
     """
     async with Rig(tmp_path, silent) as rig:
         front = rig.sender.fronts[0][0]
-        front.load_shedder.level, talk = Level.ELEVATED, front.talk
+        front.load_shedder.level, talk = Level.ELEVATED, front.serve_connection
 
         async def talk_after_step(stream: Stream) -> None:
             step(3 * load.MAX_CLIENT_TIME_US / 1e6)
             await talk(stream)
 
-        front.talk = talk_after_step  # type: ignore[method-assign]
+        front.serve_connection = talk_after_step  # type: ignore[method-assign]
         client = await rig.client()
         assert (await client.command("PING")).startswith(said)
 
@@ -400,7 +400,7 @@
     """Connections that had just been opened caused a debt, too, and good clients were kept out."""
     async with Rig(tmp_path, silent) as rig:
         front, wasted = rig.sender.fronts[0][0], list[float]()
-        front.load_shedder.wasted = wasted.append  # type: ignore[assignment, method-assign]
+        front.load_shedder.charge_wasted = wasted.append  # type: ignore[assignment, method-assign]
         good_client, bad_client, silent_client = [await rig.client() for _ in range(3)]
         assert await good_client.submit("m1") == b"+OK\r\n"
         assert (await bad_client.command("NO")).startswith(b"-ERR")
@@ -461,8 +461,8 @@
 
 
 def test_the_time_of_a_client_that_makes_a_good_request_is_credited_back(load_shedder: LoadShedder) -> None:
-    load_shedder.spent(400 * MILLISECOND_US)
-    load_shedder.spent(-400 * MILLISECOND_US)
+    load_shedder.charge(400 * MILLISECOND_US)
+    load_shedder.charge(-400 * MILLISECOND_US)
     run_spans(load_shedder, 1, load.ELEVATED_DELAY_US)
     assert load_shedder.new_client_share == 0.0
 
@@ -515,7 +515,7 @@
             case "run_overdue_round":
                 desk.exchange.run_overdue_round()
             case "too_busy":
-                desk.exchange.too_busy("another")
+                desk.exchange.refusal_if_overloaded("another")
             case _:
                 desk.exchange.submit(Message(f"n{n}", "album-update", "a", 99, desk.now, b"x", "platform"))
     assert set(reported) == {"order", *(f"m{n}" for n in range(6))}
@@ -597,7 +597,7 @@
 async def test_new_clients_are_charged_until_their_first_good_request(tmp_path: Path) -> None:
     async with Rig(tmp_path, silent) as rig:
         front, spent = rig.sender.fronts[0][0], list[float]()
-        front.load_shedder.spent = spent.append  # type: ignore[assignment, method-assign]
+        front.load_shedder.charge = spent.append  # type: ignore[assignment, method-assign]
         client = await rig.client()
         assert await client.command("PING") == b"+PONG\r\n"
         (stream,) = front.streams
--- a/tests/test_lowered.py
+++ b/tests/test_lowered.py
@@ -6,7 +6,7 @@
 
 from rowanrack.model.engine import SECOND_US
 from rowanspindle import Result
-from tests.helpers import Caller, member
+from tests.helpers import Caller, endpoint_entry
 from tests.test_fleet import count_call_results, run_model
 
 APP = "kind app partners 2 places 1 limit rate {}/s answers 100 ms to 120 ms "
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize(("senders", "held", "ratio"), [(200, 8, 8), (64, 8, 1), (200, 80, 80)])
 def test_sender_that_holds_more_gets_more_of_the_pace(senders: int, held: int, ratio: float) -> None:
     """Regression: eight held messages got the same share as one. No sender takes more than the whole pace."""
-    caller = Caller(member("t1", weight=40.0), replicas=senders)
+    caller = Caller(endpoint_entry("t1", weight=40.0), replicas=senders)
     caller.end(caller.accept(), Result.FULL, wait_us=10 * SECOND_US)
     for _ in range(held - 1):
         caller.accept()
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(("left_us", "is_sent"), [(150_000, False), (300_000, True)])
 def test_no_call_is_sent_that_would_end_before_a_refusal_arrives(left_us: int, is_sent: bool) -> None:
     """The message would end with the answer on its way, and nobody would receive its retry-after wait."""
-    caller = Caller(member("t1", weight=400.0))
+    caller = Caller(endpoint_entry("t1", weight=400.0))
     for _ in range(20):
         caller.end(caller.accept(), Result.OK)
         refused = caller.accept()
--- a/tests/test_mgmt.py
+++ b/tests/test_mgmt.py
@@ -19,7 +19,7 @@
 from rowanrack.core.metrics import Metrics
 from rowanrack.fronts.mgmt.calls import answer_locally, answer_with_channels
 from rowanrack.net.http import Request
-from rowanrack.store.bans import BanFile
+from rowanrack.store.bans import DetachedEndpointFile
 from rowanrack.store.journal import Journal, JournalError
 from rowanspindle import EndpointStatus, UpdateScope
 from tests.rig import Process, Rig, answers, on_loop, silent
@@ -30,15 +30,15 @@
     """Fake operations that record what the calls requested."""
 
     def __init__(self) -> None:
-        self.is_ready, self.known, self.detached, self.lame = True, {"s-1"}, set[str](), False
+        self.is_ready, self.known, self.detached, self.lame_duck = True, {"s-1"}, set[str](), False
 
-    def unready(self) -> str:
+    def unready_reason(self) -> str:
         return "" if self.is_ready else "lame duck"
 
-    def log_of_channels(self) -> None:
+    def channel_log(self) -> None:
         return None
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         return "svc_outstanding 0\n"
 
     def detach(self, name: str) -> bool:
@@ -50,8 +50,8 @@
         self.detached.discard(name)
         return was_detached
 
-    def lameduck(self, on: bool) -> None:
-        self.lame = on
+    def set_lame_duck(self, on: bool) -> None:
+        self.lame_duck = on
 
 
 @pytest.mark.parametrize(
@@ -87,16 +87,16 @@
     reply = answer_locally(Request("GET", "/_ready", {}, b""), operations)
     assert reply.status == 503 and reply.body == b"not ready: lame duck\n"
     answer_locally(Request("POST", "/_lameduck/on", {}, b""), operations)
-    assert operations.lame
+    assert operations.lame_duck
     answer_locally(Request("POST", "/_lameduck/off", {}, b""), operations)
-    assert not operations.lame
+    assert not operations.lame_duck
 
 
 def test_metrics_count_by_class_and_include_every_class() -> None:
     figures = Metrics()
     figures.ended("print-order", Ending.DELIVERED)
     figures.ended("print-order", Ending.FAILED)
-    figures.ended("print-order", Ending.OVER)
+    figures.ended("print-order", Ending.WITHDRAWN)
     figures.declined("album-update")
     figures.forwarded("print-order")
     text = figures.exposition(["print-order", "album-update"], 4, 30, 2)
@@ -115,11 +115,11 @@
         exchange = rig.sender.exchange
         assert not exchange.detach("nobody")
         assert exchange.detach("i0") and exchange.detach("i0")
-        assert exchange.table.get("i0").status is EndpointStatus.DRAINING  # type: ignore[union-attr]
-        exchange.list_instances(UpdateScope.FULL, rig.known_endpoints)
-        assert not exchange.table.listed("i0") and exchange.ejected == 1
+        assert exchange.endpoint_list.get("i0").status is EndpointStatus.DRAINING  # type: ignore[union-attr]
+        exchange.update_endpoints(UpdateScope.FULL, rig.known_endpoints)
+        assert not exchange.endpoint_list.accepts_calls("i0") and exchange.ejected == 1
         assert exchange.attach("i0")  # two detaches, one attach
-        assert exchange.table.listed("i0") and exchange.ejected == 0
+        assert exchange.endpoint_list.accepts_calls("i0") and exchange.ejected == 0
         assert not exchange.attach("i0")
 
 
@@ -129,9 +129,9 @@
         assert rig.sender.detach("i0")
         rig.sender.close()
         await rig.start()
-        assert not rig.sender.exchange.table.listed("i0")
+        assert not rig.sender.exchange.endpoint_list.accepts_calls("i0")
         assert rig.sender.attach("i0")
-        assert rig.sender.exchange.table.listed("i0")
+        assert rig.sender.exchange.endpoint_list.accepts_calls("i0")
 
 
 @on_loop
@@ -149,16 +149,16 @@
             full_disk.setattr(os, "replace", raise_no_space)
             reply = answer_locally(detach, rig.sender)
             assert reply.status == 507 and b"No space left" in reply.body and reply.body.count(b"\n") == 1
-            assert not rig.sender.exchange.table.listed("i0")
+            assert not rig.sender.exchange.endpoint_list.accepts_calls("i0")
         while rig.sender.unwritten_bans:
             await asyncio.sleep(0.01)
-        assert BanFile(tmp_path).changed() == {"i0"}
+        assert DetachedEndpointFile(tmp_path).changed() == {"i0"}
         assert answer_locally(detach, rig.sender).status == 200
         assert not [p for p in tmp_path.iterdir() if p.suffix == ".new"]
 
 
 def test_detached_endpoints_written_by_one_process_are_read_by_the_other(tmp_path: Path) -> None:
-    first_file, second_file = BanFile(tmp_path), BanFile(tmp_path)
+    first_file, second_file = DetachedEndpointFile(tmp_path), DetachedEndpointFile(tmp_path)
     assert first_file.changed() == set()
     first_file.write({"s-1", "s-2"})
     assert first_file.changed() is None
@@ -189,7 +189,7 @@
         body = json.dumps({"name": "i0"}).encode()
         head = f"POST /_endpoints/detach HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
         assert (await send_call(port, head.encode() + body)).startswith(b"HTTP/1.1 200")
-        assert not rig.sender.exchange.table.listed("i0")
+        assert not rig.sender.exchange.endpoint_list.accepts_calls("i0")
         assert (await send_call(port, b"NOT HTTP AT ALL\r\n\r\n")).startswith(b"HTTP/1.1 400")
         # The incomplete request is answered with 408, and the sender still answers others.
         assert (await asyncio.wait_for(slow_reader.read(), 3)).startswith(b"HTTP/1.1 408")
@@ -202,7 +202,7 @@
     async with Rig(tmp_path, answers(OK)) as rig:
         idle_client = await rig.client()
         assert await idle_client.command("PING") == b"+PONG\r\n"
-        rig.sender.lameduck(True)
+        rig.sender.set_lame_duck(True)
         assert not rig.sender.ready()
         with contextlib.suppress(ConnectionError):  # the idle connection is closed at once
             assert not await idle_client.stream.fill()
@@ -210,7 +210,7 @@
         assert (await client.command("PING")).startswith(b"-")
         with contextlib.suppress(ConnectionError):  # closed after its answer
             assert not await client.stream.fill()
-        rig.sender.lameduck(False)
+        rig.sender.set_lame_duck(False)
         assert rig.sender.ready()
         assert await (await rig.client()).command("PING") == b"+PONG\r\n"
 
@@ -225,21 +225,21 @@
     new = Journal(tmp_path, 3_000_000, lambda: 1_000_000)
     new.open()
     assert (old.slot, new.slot) == ("messages", "messages.b")
-    assert old.shared() and new.shared()
+    assert old.other_process_running() and new.other_process_running()
     assert old.take(message("a")) and old.take(message("b"))
     old.end(message("b"), End(Ending.FAILED))
-    assert new.absorb() is None  # the old process still holds the lock of its slot
+    assert new.take_over() is None  # the old process still holds the lock of its slot
     old.close()
-    absorbed = new.absorb()
+    absorbed = new.take_over()
     assert absorbed is not None and [m.id for m in absorbed] == ["a"]
-    assert new.ended("b") == End(Ending.FAILED) and new.absorbed == ["b"]
+    assert new.ended("b") == End(Ending.FAILED) and new.ends_taken_over == ["b"]
     assert not (tmp_path / "messages.log").exists()
     new.close()
     reopened = Journal(tmp_path, 3_000_000, lambda: 1_000_000)
     reopened.open()
     assert reopened.slot == "messages" and list(reopened.owed) == []
-    assert reopened.absorb() is not None and list(reopened.owed) == ["a"]
-    assert replace(reopened.owed["a"], guard=None).id == "a"
+    assert reopened.take_over() is not None and list(reopened.owed) == ["a"]
+    assert replace(reopened.owed["a"], guard_timer=None).id == "a"
 
 
 @on_loop
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -427,7 +427,7 @@
     result = world.run()
     assert world.notes % 8 == 0 and result["notes"]["bytes"] > 2 * result["notes"]["datagrams"] > 0
     hearsay = world.senders[0].exchange.forwarder.gossip
-    hearsay.receive(5, Note(1, (Fact(FactKind.WORK, 7, 3),)), world.engine.now)
+    hearsay.receive(5, Note(1, (Fact(FactKind.HELD_MESSAGES, 7, 3),)), world.engine.now)
     assert hearsay.active_senders(7, 1, world.engine.now) == 1 + 3 * 79 / 8
 
 
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -33,7 +33,7 @@
     encode_note,
     endpoint_digest,
 )
-from tests.helpers import BASE, SECOND_US, Caller, member
+from tests.helpers import BASE, SECOND_US, Caller, endpoint_entry
 
 FLEET = replace(BASE, replicas=40, peers=True, peer_price=0.01, weights_exact=True, refused_price=0.1)
 
@@ -80,7 +80,7 @@
 
 def sender(**changes: object) -> Caller:
     settings = {name: getattr(FLEET, name) for name in FLEET.__dataclass_fields__} | changes
-    return Caller(member("t1"), **settings)
+    return Caller(endpoint_entry("t1"), **settings)
 
 
 def receive_note(caller: Caller, number: int, *facts: Fact, peer: int = 5) -> None:
@@ -106,14 +106,14 @@
     caller.wait(1000)
     caller.end(ref, Result.FULL, wait_us=3 * SECOND_US)
     note_received_at = caller.now
-    receive_note(caller, 1, Fact(FactKind.REFUSED, 1, 1), Fact(FactKind.BACK, endpoint_digest("t1")))
+    receive_note(caller, 1, Fact(FactKind.REFUSED, 1, 1), Fact(FactKind.RECOVERED, endpoint_digest("t1")))
     caller.wait(10 * SECOND_US)
     assert caller.sends(since=note_received_at)[0][0] > note_received_at + 3 * SECOND_US
 
 
 def test_held_messages_are_reported_until_gone_and_share_the_rate() -> None:
     caller = sender()
-    caller.step(NoteReceived(5, Note(1, (Fact(FactKind.WORK, 1, 9),))))
+    caller.step(NoteReceived(5, Note(1, (Fact(FactKind.HELD_MESSAGES, 1, 9),))))
     gossip = caller.forwarder.gossip
     assert gossip.active_senders(1, 1, caller.now) == 10 and gossip.active_senders(1, 3, caller.now) == 4
     assert gossip.active_senders(2, 1, caller.now) == 1
@@ -124,12 +124,12 @@
     for _ in range(20):
         caller.accept()
     caller.wait(SECOND_US)
-    assert any(f.kind is FactKind.WORK and f.value > 1 for f in sent_facts(caller))
+    assert any(f.kind is FactKind.HELD_MESSAGES and f.value > 1 for f in sent_facts(caller))
     for _ in range(40):
-        for ref in {r for r, _ in caller.out}:
+        for ref in {r for r, _ in caller.attempts_in_flight}:
             caller.end(ref)
         caller.wait(SECOND_US)
-    assert sent_facts(caller)[-1] == Fact(FactKind.WORK, 1, 0)
+    assert sent_facts(caller)[-1] == Fact(FactKind.HELD_MESSAGES, 1, 0)
 
 
 @pytest.mark.parametrize(
@@ -137,16 +137,16 @@
 )
 def test_duplicate_and_stale_notes_are_dropped(first: int, then: int, accepted: bool) -> None:
     gossip = Gossip(FLEET)
-    gossip.receive(3, Note(first, (Fact(FactKind.WORK, 1, 5),)), 0)
-    gossip.receive(3, Note(then, (Fact(FactKind.WORK, 1, 2),)), 1)
+    gossip.receive(3, Note(first, (Fact(FactKind.HELD_MESSAGES, 1, 5),)), 0)
+    gossip.receive(3, Note(then, (Fact(FactKind.HELD_MESSAGES, 1, 2),)), 1)
     assert gossip.active_senders(1, 1, 2) == (3 if accepted else 6)
     assert gossip.notes_dropped == (not accepted)
 
 
 def test_notes_of_a_restarted_sender_are_accepted_after_the_silence_timeout() -> None:
     gossip = Gossip(FLEET)
-    gossip.receive(3, Note(90, (Fact(FactKind.WORK, 1, 5),)), 0)
-    gossip.receive(3, Note(1, (Fact(FactKind.WORK, 1, 2),)), SILENCE_TIMEOUT_US)
+    gossip.receive(3, Note(90, (Fact(FactKind.HELD_MESSAGES, 1, 5),)), 0)
+    gossip.receive(3, Note(1, (Fact(FactKind.HELD_MESSAGES, 1, 2),)), SILENCE_TIMEOUT_US)
     assert gossip.active_senders(1, 1, SILENCE_TIMEOUT_US) == 3
 
 
@@ -164,14 +164,14 @@
     """Each of 40 senders knew of hardly any held messages elsewhere and used the whole call budget."""
     caller = sender()
     caller.end(caller.accept(), Result.CONNECT_FAILED)
-    caller.step(NoteReceived(9, Note(0, (Fact(FactKind.WORK, 2, 1),))))
+    caller.step(NoteReceived(9, Note(0, (Fact(FactKind.HELD_MESSAGES, 2, 1),))))
     # Until then the sender counts as uninformed.
     caller.wait(LISTEN_INTERVALS * caller.forwarder.gossip.work_interval_us)
     for number in numbers:
         for peer in range(1, 4):
-            caller.step(NoteReceived(peer, Note(number, (Fact(FactKind.WORK, 2, 1),))))
+            caller.step(NoteReceived(peer, Note(number, (Fact(FactKind.HELD_MESSAGES, 2, 1),))))
     caller.wait(SECOND_US // 10)
-    caller.step(NoteReceived(5, Note(1, (Fact(FactKind.BACK, endpoint_digest("t1")),))))
+    caller.step(NoteReceived(5, Note(1, (Fact(FactKind.RECOVERED, endpoint_digest("t1")),))))
     endpoint = caller.forwarder.endpoints["t1"]
     assert endpoint.ramp_from is not None
     alone, shared = endpoint.cold_rate(caller.now, 1.0), endpoint.cold_rate(caller.now)
@@ -179,7 +179,7 @@
     endpoint.ramp_bucket.tokens = 0.0
     caller.accept()
     caller.wait(round(SECOND_US / alone) + SECOND_US // 20)
-    assert (len(caller.out) == 1) is informed
+    assert (len(caller.attempts_in_flight) == 1) is informed
 
 
 def test_a_reported_recovery_ends_the_outage_and_starts_the_slow_start() -> None:
@@ -189,10 +189,10 @@
     endpoint = caller.forwarder.endpoints["t1"]
     assert endpoint.out_since is not None
     # This recovery is older than the own failure.
-    receive_note(caller, 1, Fact(FactKind.BACK, endpoint_digest("t1"), MAX_VALUE))
-    receive_note(caller, 2, Fact(FactKind.BACK, endpoint_digest("nobody")))
+    receive_note(caller, 1, Fact(FactKind.RECOVERED, endpoint_digest("t1"), MAX_VALUE))
+    receive_note(caller, 2, Fact(FactKind.RECOVERED, endpoint_digest("nobody")))
     assert endpoint.out_since is not None
-    receive_note(caller, 3, Fact(FactKind.BACK, endpoint_digest("t1")))
+    receive_note(caller, 3, Fact(FactKind.RECOVERED, endpoint_digest("t1")))
     assert endpoint.out_since is None and endpoint.ramp_from == caller.now
 
 
@@ -201,7 +201,7 @@
     caller, accepted = sender(replicas=peers + 1), 300
     for ref in range(accepted):
         caller.step(Accept(ref + 1, "safe", 1, 20 * SECOND_US, "a"))
-        for known in [r for r, _ in caller.out]:
+        for known in [r for r, _ in caller.attempts_in_flight]:
             caller.end(known, Result.FULL)
         caller.wait(SECOND_US // 20)
     sent_bytes = sum(len(encode_note(a.note)) for _, a in caller.log if isinstance(a, BroadcastNote))
@@ -219,7 +219,7 @@
             sent_facts.update({fact.kind for note in notes for fact in note.facts} if second == 99 else ())
             sent_bytes += sum(len(encode_note(note)) for note in notes)
     assert (
-        sent_facts[FactKind.WORK] <= 16
+        sent_facts[FactKind.HELD_MESSAGES] <= 16
         and sent_facts[FactKind.REFUSED] <= 200
         and min(sent_facts.values()) > 0
     ), sent_facts
@@ -233,7 +233,7 @@
     """Senders that had received no report used the whole rate: the sum of all was 5 times the limit."""
     gossip = Gossip(replace(FLEET, replicas=200))
     for peer in range(8):  # 8 of 16 expected reporters, two messages each
-        gossip.receive(peer, Note(1, (Fact(FactKind.WORK, 1, 2),)), 0)
+        gossip.receive(peer, Note(1, (Fact(FactKind.HELD_MESSAGES, 1, 2),)), 0)
     active = gossip.active_senders(1, 1, 1, estimate)
     assert active is not None and round(active) == expected_senders
 
@@ -275,7 +275,7 @@
     )
     port.open()
     try:
-        note = Note(4, (Fact(FactKind.WORK, 7, 2),))
+        note = Note(4, (Fact(FactKind.HELD_MESSAGES, 7, 2),))
         unknown_sender.sendto(encode_note(note), own_address)
         peer.sendto(b"noise", own_address)
         peer.sendto(b"x" * 400, own_address)
@@ -288,7 +288,7 @@
             while port.dropped < 3 + 101 - (MAX_NOTES_PER_PEER_PER_S - 3):
                 await asyncio.sleep(0.01)
         assert got.qsize() == MAX_NOTES_PER_PEER_PER_S - 3
-        port.tell(note)
+        port.send(note)
         assert decode_note(await asyncio.wait_for(asyncio.to_thread(peer.recv, 300), 5)) == note
         assert len([r for r in caplog.records if "notes" in r.message]) == 1
     finally:
--- a/tests/test_otlp.py
+++ b/tests/test_otlp.py
@@ -30,7 +30,7 @@
     media_type,
     parse_message,
 )
-from rowanrack.net.http import Call, HttpCaller, Reply
+from rowanrack.net.http import Call, HttpClientConnection, Reply
 from rowanspindle import UpdateScope
 from tests.rig import Rig, after, answers, on_loop, silent
 
@@ -127,7 +127,7 @@
         await stream.send(data)
         while await stream.fill():
             pass
-        assert stream.inward.read(12) in (b"HTTP/1.1 400", b"HTTP/1.1 431", b"HTTP/1.1 505")
+        assert stream.receive_buffer.read(12) in (b"HTTP/1.1 400", b"HTTP/1.1 431", b"HTTP/1.1 505")
         assert (await rig.export(logs())).status == 200
 
 
@@ -185,7 +185,9 @@
         stream = await rig.connect(1)
         headers = (("Content-Type", PROTOBUF), ("X-Id", "e1"))
         first = asyncio.create_task(
-            HttpCaller(stream, "otlp", 1 << 16, after).call(Call("POST", "/v1/logs", headers, logs()))
+            HttpClientConnection(stream, "otlp", 1 << 16, after).call(
+                Call("POST", "/v1/logs", headers, logs())
+            )
         )
         await rig.servers[0].wait_for_requests(1)
         first.cancel()
@@ -239,7 +241,7 @@
     cases += [("print-order", True), ("album-update", False)]
     async with Rig(tmp_path, answers(*script), answers(*script)) as rig:
         first_endpoint, second_endpoint = rig.known_endpoints
-        rig.sender.exchange.list_instances(
+        rig.sender.exchange.update_endpoints(
             UpdateScope.FULL, [first_endpoint, replace(second_endpoint, dest=8)]
         )
         rig.add_removed_destinations(98, 99)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -184,7 +184,7 @@
     restartable.journal.never_ran(restartable.message("a"), 0)
     restartable.journal.end(restartable.message("b"), End(Ending.REFUSED, 700_000))
     restartable.journal.end(restartable.message("c"), End(Ending.FAILED))
-    restartable.journal.told("c")
+    restartable.journal.confirm_notice("c")
     reopened = RestartableJournal(tmp_path).journal
     assert (
         list(reopened.owed) == ["a"] and reopened.owed["a"].body == b"body" and reopened.owed["a"].form == "f"
@@ -192,7 +192,8 @@
     assert (reopened.owed["a"].attempts_made, reopened.owed["a"].unsettled) == (2, {1: 0})
     assert reopened.ended("b") == End(Ending.REFUSED, 700_000) and reopened.ended("c") == End(Ending.FAILED)
     assert (
-        reopened.untold("platform") == [("b", End(Ending.REFUSED, 700_000))] and reopened.untold("otlp") == []
+        reopened.unconfirmed_notices("platform") == [("b", End(Ending.REFUSED, 700_000))]
+        and reopened.unconfirmed_notices("otlp") == []
     )
 
 
@@ -230,7 +231,7 @@
     message.attempts_made, message.unsettled = 3, {1: 0}
     for n in range(2000):
         restartable.journal.take(restartable.message(str(n)))
-        restartable.journal.end(restartable.message(str(n)), End(Ending.OVER))
+        restartable.journal.end(restartable.message(str(n)), End(Ending.WITHDRAWN))
     restartable.journal.ends.clear()
     assert restartable.journal._compact() and restartable.journal.size < 1000
     reopened = RestartableJournal(tmp_path).journal
@@ -248,9 +249,9 @@
     assert restartable.journal.begin(message, 0)
     assert read_journal(tmp_path).owed["a"].unsettled == {0: 0}
     restartable.journal.end(message, End(Ending.FAILED))
-    assert read_journal(tmp_path).untold("platform") == [("a", End(Ending.FAILED))]
-    restartable.journal.told("a")
-    assert read_journal(tmp_path).untold("platform") == []
+    assert read_journal(tmp_path).unconfirmed_notices("platform") == [("a", End(Ending.FAILED))]
+    restartable.journal.confirm_notice("a")
+    assert read_journal(tmp_path).unconfirmed_notices("platform") == []
 
 
 def test_file_of_another_format_is_rejected(tmp_path: Path) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
 import pytest
 
 from rowanrack.core.messages import Ending
-from rowanrack.net.http import Call, CallBrokenError, CallNotSentError, HttpCaller, Reply, Request
+from rowanrack.net.http import Call, CallBrokenError, CallNotSentError, HttpClientConnection, Reply, Request
 from rowanrack.net.stream import Stream
 from rowanspindle import Result, UpdateScope
 from tests.rig import Process, Rig, after, answers, discovery_entry, make_endpoint, on_loop, resp, silent
@@ -45,7 +45,7 @@
 async def test_idle_connections_over_the_limit_are_closed(tmp_path: Path) -> None:
     async with Rig(tmp_path, *(answers(OK) for _ in range(4))) as rig:
         rig.sender.pool._max_idle = 2
-        rig.sender.exchange.list_instances(
+        rig.sender.exchange.update_endpoints(
             UpdateScope.FULL, [replace(i, dest=n) for n, i in enumerate(rig.known_endpoints)]
         )
         client = await rig.client()
@@ -126,7 +126,7 @@
     async with server:
         stream = await Stream.connect("127.0.0.1", server.sockets[0].getsockname()[1])
         with pytest.raises(error):
-            await HttpCaller(stream, "instance", 4096, after).call(Call("POST", "/inbox", (), body))
+            await HttpClientConnection(stream, "instance", 4096, after).call(Call("POST", "/inbox", (), body))
         stream.abort()
 
 
@@ -149,7 +149,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with server, Rig(tmp_path) as rig:
         port = server.sockets[0].getsockname()[1]
-        rig.sender.exchange.list_instances(UpdateScope.FULL, [make_endpoint("i0", port)])
+        rig.sender.exchange.update_endpoints(UpdateScope.FULL, [make_endpoint("i0", port)])
         await (await rig.client()).submit("m1", "print-order", d=2000)
         assert (await rig.wait_for_end("m1")).ending is Ending.DELIVERED
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 
 from rowanrack.config import needs_restart
 from rowanrack.core.messages import Ending
-from rowanrack.fronts.otlp.mapping import Source
+from rowanrack.fronts.otlp.mapping import ValueSource
 from rowanrack.net.http import Reply, Request
 from tests.rig import (
     MAPPING,
@@ -103,7 +103,7 @@
         late.port = port
         async with late:
             await late.wait_for_requests(1)
-            assert not rig.sender.exchange.forwarder.list_watch.failures
+            assert not rig.sender.exchange.forwarder.list_watch.consecutive_failures
 
 
 @on_loop
@@ -111,7 +111,7 @@
     async with Rig(tmp_path, answers(OK), silent) as rig:
         config, sender = rig.sender.config, rig.sender
         assert config.otlp is not None
-        mapping = replace(MAPPING, destination=Source(default="8"))
+        mapping = replace(MAPPING, destination=ValueSource(default="8"))
         new = replace(
             config,
             instances=(make_endpoint("file-1", rig.servers[0].port, 8),),
@@ -124,7 +124,10 @@
             call.target == "/v1/logs" and (await rig.wait_for_end(rig.ends[0][0])).ending is Ending.DELIVERED
         )
         sender.reload(replace(new, instances=()))
-        assert sender.exchange.table.get("file-1") is None and sender.exchange.table.get("i0") is not None
+        assert (
+            sender.exchange.endpoint_list.get("file-1") is None
+            and sender.exchange.endpoint_list.get("i0") is not None
+        )
 
 
 @on_loop
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -154,6 +154,6 @@
         await submit_undeliverable(rig, "m1", d=5000)
         rig.sender.close()  # the journal stays as after SIGKILL
         rig.sender = first
-        first.exchange.list_instances(UpdateScope.FULL, rig.known_endpoints)
+        first.exchange.update_endpoints(UpdateScope.FULL, rig.known_endpoints)
         await rig.wait_until(lambda: first.exchange.counts[Ending.DELIVERED] == 1)
         assert not first.journal.owed and not (tmp_path / "messages.b.log").exists()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,11 +22,11 @@
     UpdateScope,
     Withdrawn,
 )
-from tests.helpers import BASE, SECOND_US, Caller, member
+from tests.helpers import BASE, SECOND_US, Caller, endpoint_entry
 
 
 def test_every_message_ends_by_its_deadline() -> None:
-    caller = Caller(member("t1"))
+    caller = Caller(endpoint_entry("t1"))
     held = caller.accept("unsafe", dest=9, left_us=3 * SECOND_US)
     sent = caller.accept("unsafe", left_us=3 * SECOND_US)
     caller.wait(3 * SECOND_US + BASE.answer_slack_us)
@@ -78,9 +78,9 @@
 
 
 def test_keyed_message_with_same_zone_stays_in_its_zone() -> None:
-    caller = Caller(member("t1", zone="x"), member("t2", zone="y"))
+    caller = Caller(endpoint_entry("t1", zone="x"), endpoint_entry("t2", zone="y"))
     ref = caller.accept("zoned")
-    target = caller.out[ref, 0]
+    target = caller.attempts_in_flight[ref, 0]
     caller.end(ref, Result.RESET)
     caller.wait(25 * SECOND_US)
     assert {a.target for _, a in caller.sends()} == {target}
@@ -88,8 +88,10 @@
 
 
 def test_draining_endpoint_gets_no_new_calls() -> None:
-    caller = Caller(member("t1"), member("t2"))
-    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t1", status=EndpointStatus.DRAINING),)))
+    caller = Caller(endpoint_entry("t1"), endpoint_entry("t2"))
+    caller.step(
+        EndpointListUpdate(UpdateScope.DELTA, (endpoint_entry("t1", status=EndpointStatus.DRAINING),))
+    )
     caller.step(EndpointListUpdate(UpdateScope.FAILED))
     for _ in range(6):
         caller.accept()
@@ -101,7 +103,7 @@
 
 
 def test_retry_after_wait_stops_the_whole_destination_and_ends_spread() -> None:
-    caller = Caller(member("t1"), member("t2"), slots=24)
+    caller = Caller(endpoint_entry("t1"), endpoint_entry("t2"), slots=24)
     ref = caller.accept()
     caller.wait(SECOND_US // 10)
     caller.end(ref, Result.FULL, wait_us=SECOND_US)
@@ -116,9 +118,9 @@
 
 
 def test_retry_after_wait_stops_only_its_endpoint_where_limits_are_separate() -> None:
-    caller = Caller(member("t1", kind="apart"), member("t2", kind="apart"))
+    caller = Caller(endpoint_entry("t1", kind="apart"), endpoint_entry("t2", kind="apart"))
     ref = caller.accept()
-    refused_target = caller.out[ref, 0]
+    refused_target = caller.attempts_in_flight[ref, 0]
     caller.wait(SECOND_US // 10)
     caller.end(ref, Result.FULL, wait_us=2 * SECOND_US)
     refused_at = caller.now
@@ -156,7 +158,7 @@
 
 
 def test_returned_endpoint_is_not_overloaded() -> None:
-    caller = Caller(member("t1", weight=10.0), slots=40)
+    caller = Caller(endpoint_entry("t1", weight=10.0), slots=40)
     for _ in range(3):
         ref = caller.accept()
         caller.wait(SECOND_US // 10)
@@ -167,7 +169,7 @@
     returned_at: int | None = None
     while caller.now < failed_at + 20 * SECOND_US:
         caller.wait(SECOND_US // 10)
-        for ref in [r for r, _ in caller.out]:
+        for ref in [r for r, _ in caller.attempts_in_flight]:
             caller.end(ref, Result.OK if caller.now > failed_at + 5 * SECOND_US else Result.CONNECT_FAILED)
             if caller.now > failed_at + 5 * SECOND_US:
                 returned_at = returned_at or caller.now
@@ -186,7 +188,11 @@
     """Check all rules except the slow start from outside, over random legal event sequences."""
     kind = data.draw(st.sampled_from(["plain", "batch", "apart"]))
     caller = Caller(
-        member("t1", kind=kind), member("t2", kind=kind, zone="y"), slots=4, most_held=12, try_limit=4
+        endpoint_entry("t1", kind=kind),
+        endpoint_entry("t2", kind=kind, zone="y"),
+        slots=4,
+        most_held=12,
+        try_limit=4,
     )
     cls_of: dict[int, str] = {}
     deadlines: dict[int, int] = {}
@@ -232,11 +238,11 @@
             if key:
                 keys[ref] = key
             caller.accept(cls, left_us=left_us, key=key)
-        elif step == "end" and caller.out:
-            ref, attempt_number = data.draw(st.sampled_from(sorted(caller.out)))
+        elif step == "end" and caller.attempts_in_flight:
+            ref, attempt_number = data.draw(st.sampled_from(sorted(caller.attempts_in_flight)))
             result = data.draw(st.sampled_from(list(Result)))
             wait_us = data.draw(st.sampled_from([0, SECOND_US])) if result is Result.FULL else 0
-            target = caller.out.pop((ref, attempt_number))
+            target = caller.attempts_in_flight.pop((ref, attempt_number))
             sent_at = next(t for t, a in reversed(caller.log) if isinstance(a, Send) and a.ref == ref)
             if result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
                 first_attempt_at.setdefault(ref, sent_at)
@@ -256,7 +262,9 @@
             else:
                 unlisted.add("t2")
             caller.step(
-                EndpointListUpdate(UpdateScope.DELTA, (member("t2", kind=kind, zone="y", status=status),))
+                EndpointListUpdate(
+                    UpdateScope.DELTA, (endpoint_entry("t2", kind=kind, zone="y", status=status),)
+                )
             )
         elif step == "withdraw" and accepted:
             ref = data.draw(st.sampled_from(accepted))
@@ -269,11 +277,11 @@
 
 def test_endpoint_listed_again_keeps_its_retry_after_wait() -> None:
     """Regression, found by random sequences: an endpoint listed again had lost its retry-after wait."""
-    caller = Caller(member("t1", kind="apart"))
+    caller = Caller(endpoint_entry("t1", kind="apart"))
     ref = caller.accept()
     caller.end(ref, Result.FULL, wait_us=2 * SECOND_US)
     caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
-    caller.step(EndpointListUpdate(UpdateScope.FULL, (member("t1", kind="apart"),)))
+    caller.step(EndpointListUpdate(UpdateScope.FULL, (endpoint_entry("t1", kind="apart"),)))
     assert not caller.is_out(ref)
     caller.wait(4 * SECOND_US)
     assert caller.is_out(ref)
@@ -294,7 +302,9 @@
 def test_stuck_calls_are_cancelled_only_without_free_slots_and_unsafe_ones_later() -> None:
     """Regression (incidents id737bb, i222f4e): silent destinations took all slots from the healthy ones."""
     for cls, seconds, called_off in (("safe", 4, True), ("unsafe", 4, False), ("unsafe", 6, True)):
-        caller = Caller(member("t1", dest=1), member("t2", dest=2), member("t3", dest=3), slots=2)
+        caller = Caller(
+            endpoint_entry("t1", dest=1), endpoint_entry("t2", dest=2), endpoint_entry("t3", dest=3), slots=2
+        )
         caller.accept(cls, dest=1)
         caller.accept(cls, dest=2)
         caller.wait(seconds * SECOND_US)
@@ -305,7 +315,7 @@
 
 def test_single_long_call_is_no_outage_and_its_answer_starts_no_slow_start() -> None:
     """Regression (incident idccf9c): single long calls were taken for outages, and slow starts followed."""
-    caller = Caller(member("t1", weight=2.0))
+    caller = Caller(endpoint_entry("t1", weight=2.0))
     ref = caller.accept("unsafe")
     caller.wait(3 * SECOND_US)
     assert not caller.logs()
@@ -317,7 +327,7 @@
 
 
 def test_nearly_full_sender_refuses_the_least_valuable_messages() -> None:
-    caller = Caller(member("t1"), most_held=10)
+    caller = Caller(endpoint_entry("t1"), most_held=10)
     caller.step(EndpointListUpdate(UpdateScope.FULL, ()))
     valuable = [caller.accept("unsafe") for _ in range(5)]
     least_worth = [caller.accept("safe") for _ in range(6)]
@@ -335,7 +345,7 @@
         assert caller.is_out(ref)
         caller.end(ref)
     assert caller.is_out(lost) and not any(isinstance(a, Cancel) for _, a in caller.log)
-    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t2", dest=2),)))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (endpoint_entry("t2", dest=2),)))
     caller.accept()
     caller.accept(dest=2)
     assert [a.ref for _, a in caller.log if isinstance(a, Cancel)] == [lost]
@@ -343,7 +353,7 @@
 
 def test_refusals_of_one_burst_count_once() -> None:
     """Regression (incident iae2142): four calls refused together counted as an outage of the destination."""
-    caller = Caller(member("t1", weight=20.0), slots=20)
+    caller = Caller(endpoint_entry("t1", weight=20.0), slots=20)
     refs = [caller.accept("unsafe") for _ in range(4)]
     caller.wait(SECOND_US // 10)
     for ref in refs:
@@ -353,7 +363,7 @@
 
 def test_every_message_of_a_call_may_extend_the_retry_after_wait() -> None:
     """Regression (h80106d): the messages of one call receive the retry-after wait in separate batches."""
-    caller = Caller(member("t1", kind="batch"))
+    caller = Caller(endpoint_entry("t1", kind="batch"))
     caller.step(*[Accept(n, "safe", 1, 20 * SECOND_US) for n in (100, 101)])
     caller.wait(SECOND_US // 10)
     caller.end(100, Result.FULL, wait_us=SECOND_US)
@@ -368,7 +378,7 @@
 def test_calls_that_cannot_be_repeated_are_cancelled_later() -> None:
     """Regression (i3b514e): orders and payments cancelled for their slots were lost: no retry was safe."""
     for cls, called_off in (("safe", True), ("unsafe", False), ("zoned", False)):
-        caller = Caller(member("t1", dest=1, zone="y"), member("t3", dest=3), slots=2)
+        caller = Caller(endpoint_entry("t1", dest=1, zone="y"), endpoint_entry("t3", dest=3), slots=2)
         caller.accept(cls, dest=1)
         other = caller.accept(cls, dest=1)
         caller.wait(SECOND_US)
@@ -382,16 +392,16 @@
 
 def test_return_of_one_endpoint_starts_the_slow_start_of_its_siblings() -> None:
     """Regression (run riga rough-1): trials found the three endpoints of one outage half a minute apart."""
-    caller = Caller(member("t1"), member("t2"), slots=20)
+    caller = Caller(endpoint_entry("t1"), endpoint_entry("t2"), slots=20)
     caller.watch = lambda now, action: None
     for _ in range(20):
         caller.accept()
         caller.wait(SECOND_US // 10)
-        for ref in [r for r, _ in caller.out]:
+        for ref in [r for r, _ in caller.attempts_in_flight]:
             caller.end(ref, Result.CONNECT_FAILED)
     endpoints = caller.forwarder.endpoints.values()
     assert all(e.out_since is not None for e in endpoints)
-    while not caller.out:
+    while not caller.attempts_in_flight:
         caller.wait(SECOND_US // 10)
-    caller.end(next(iter(caller.out))[0])
+    caller.end(next(iter(caller.attempts_in_flight))[0])
     assert all(e.out_since is None and e.ramp_from is not None for e in endpoints)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,13 +21,13 @@
 )
 from rowanspindle.endpoint import Endpoint
 from rowanspindle.pacing import SharedLimit
-from tests.helpers import BASE, SECOND_US, Caller, member
+from tests.helpers import BASE, SECOND_US, Caller, endpoint_entry
 
 
 def count_function_calls_of_one_decision(endpoints: int) -> int:
     """Count the function calls caused by one accepted message with this many endpoints listed."""
     forwarder = Forwarder(replace(BASE, replicas=200), 1)
-    listed = tuple(member(f"t{n}", dest=n // 2) for n in range(endpoints))
+    listed = tuple(endpoint_entry(f"t{n}", dest=n // 2) for n in range(endpoints))
     forwarder.decide(0, [EndpointListUpdate(UpdateScope.FULL, listed)])
     count = 0
 
@@ -66,7 +66,7 @@
     weight, since, learning = 20.0, 30, 12
     sends = 0
     for number in range(replicas):
-        caller = Caller(member("t1", weight=weight), replicas=replicas, slots=4)
+        caller = Caller(endpoint_entry("t1", weight=weight), replicas=replicas, slots=4)
         caller.forwarder.rng.seed(number)
         # In half seconds: the senders get work at different times.
         learns_after = 2 * learning * number // replicas
@@ -74,13 +74,13 @@
         for _ in range(3):
             caller.accept(left_us=60 * SECOND_US)
         for _ in range(2 * since - learns_after):
-            for ref, _attempt_number in list(caller.out):
+            for ref, _attempt_number in list(caller.attempts_in_flight):
                 caller.end(ref, Result.CONNECT_FAILED)
             caller.wait(SECOND_US // 2)
         start = caller.now
         for _ in range(4):
             caller.wait(SECOND_US // 2)
-            for ref, _attempt_number in list(caller.out):
+            for ref, _attempt_number in list(caller.attempts_in_flight):
                 caller.end(ref, Result.CONNECT_FAILED)
         sends += len(caller.sends(since=start + 1))
         early = [t for t, _ in caller.sends() if t <= caller.now - (since + 2 - learning) * SECOND_US]
@@ -91,14 +91,14 @@
 
 def test_one_failure_is_an_outage_where_own_calls_are_rare() -> None:
     for replicas, out in ((2, False), (200, True)):
-        caller = Caller(member("t1", weight=8.0), replicas=replicas)
+        caller = Caller(endpoint_entry("t1", weight=8.0), replicas=replicas)
         caller.end(caller.accept(), Result.CONNECT_FAILED)
         assert any("out" in line for line in caller.logs()) is out
 
 
 def test_few_refusals_in_a_large_fleet_are_no_outage() -> None:
     for replicas, shut in ((2, True), (60, False)):
-        caller = Caller(member("t1", weight=20.0), replicas=replicas)
+        caller = Caller(endpoint_entry("t1", weight=20.0), replicas=replicas)
         ref = caller.accept(left_us=60 * SECOND_US)
         for _ in range(5):
             while not caller.is_out(ref) and ref not in caller.ended:
@@ -110,13 +110,13 @@
 
 def test_idle_connections_close_where_they_will_hardly_be_used_again() -> None:
     for replicas, closes in ((2, False), (200, True)):
-        caller = Caller(member("t1", weight=10.0), replicas=replicas)
+        caller = Caller(endpoint_entry("t1", weight=10.0), replicas=replicas)
         caller.end(caller.accept())
         assert any(isinstance(a, Disconnect) for _, a in caller.log) is closes
 
 
 def test_connection_dropped_while_idle_does_not_count_against_the_endpoint() -> None:
-    caller = Caller(member("t1", weight=20.0), replicas=50, keepalive_us=20 * SECOND_US)
+    caller = Caller(endpoint_entry("t1", weight=20.0), replicas=50, keepalive_us=20 * SECOND_US)
     caller.end(caller.accept())
     caller.wait(2 * SECOND_US)
     ref = caller.accept("unsafe")
@@ -129,9 +129,9 @@
 
 
 def test_changed_configured_rate_is_applied() -> None:
-    caller = Caller(member("t1", weight=4.0))
-    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("t1", weight=9.0),)))
-    assert caller.forwarder.endpoints["t1"].shared_limit.weight == 9.0
+    caller = Caller(endpoint_entry("t1", weight=4.0))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (endpoint_entry("t1", weight=9.0),)))
+    assert caller.forwarder.endpoints["t1"].shared_limit.rate == 9.0
 
 
 def test_a_rested_key_is_forgotten() -> None:
@@ -139,7 +139,7 @@
     ref = caller.accept("ordered", key="k", left_us=3 * SECOND_US)
     caller.end(ref, Result.RESET)
     caller.wait(30 * SECOND_US)
-    for again, _attempt_number in list(caller.out):
+    for again, _attempt_number in list(caller.attempts_in_flight):
         caller.end(again, Result.CANCELLED)
     caller.wait(30 * SECOND_US)
     assert not caller.forwarder.keys
@@ -148,15 +148,15 @@
 @pytest.mark.parametrize("changes", [{"slots": 1}, {"most_held": 1}, {"replicas": 900}])
 @pytest.mark.parametrize("weight", [0.0, 1.0, 500.0])
 def test_extreme_sizes_do_not_crash(changes: dict[str, int], weight: float) -> None:
-    caller = Caller(*[member(f"t{n}", dest=n // 2, weight=weight) for n in range(480)], **changes)
+    caller = Caller(*[endpoint_entry(f"t{n}", dest=n // 2, weight=weight) for n in range(480)], **changes)
     refs = [caller.accept(cls, dest=3) for cls in ("safe", "keyed", "unsafe")]
     for result in (Result.FULL, Result.TIMEOUT, Result.ERROR, Result.RESET, Result.CONNECT_FAILED):
-        for ref, _attempt_number in list(caller.out):
+        for ref, _attempt_number in list(caller.attempts_in_flight):
             caller.end(ref, result)
         caller.wait(SECOND_US)
     caller.step(Outcome(refs[0], 99, "t6", Result.OK, 5, True))
     caller.wait(30 * SECOND_US)
-    for ref, _attempt_number in list(caller.out):
+    for ref, _attempt_number in list(caller.attempts_in_flight):
         caller.end(ref, Result.TIMEOUT)
     assert set(refs) <= set(caller.ended)
     assert all(isinstance(a.timeout_us, int) for _, a in caller.log if isinstance(a, Send))
@@ -164,9 +164,9 @@
 
 def test_active_senders_keep_growing_during_a_slow_start() -> None:
     """Regression (run rabat-flags-later big-2): who learned of an outage late assumed few active senders."""
-    caller = Caller(member("t1", weight=40.0), replicas=200)
+    caller = Caller(endpoint_entry("t1", weight=40.0), replicas=200)
     caller.end(caller.accept(), Result.CONNECT_FAILED)
-    while not caller.out:
+    while not caller.attempts_in_flight:
         caller.wait(SECOND_US // 10)
     caller.end(caller.sends()[-1][1].ref)
     endpoint = caller.forwarder.endpoints["t1"]
@@ -182,7 +182,7 @@
 
 def test_unchanged_destinations_are_not_picked_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """Regression (i3f77b4): each event looked at every waiting destination: too slow with many messages."""
-    caller = Caller(*[member(f"t{n}", dest=n) for n in range(20)], slots=2, most_held=1000)
+    caller = Caller(*[endpoint_entry(f"t{n}", dest=n) for n in range(20)], slots=2, most_held=1000)
     for dest in range(20):
         caller.accept(dest=dest)
     looks = 0
@@ -205,17 +205,18 @@
 
 
 def test_valid_pick_is_dropped_with_its_endpoint() -> None:
-    caller = Caller(*[member(f"t{n}", dest=n) for n in range(3)], slots=1)
+    caller = Caller(*[endpoint_entry(f"t{n}", dest=n) for n in range(3)], slots=1)
     first = caller.accept(dest=0)
     caller.accept(dest=1)
     caller.accept(dest=2)
     caller.end(first)
-    second = next(iter(caller.out))[0]
-    unsent_dest = 3 - int(caller.out[second, 0][1:])
-    assert caller.forwarder.destinations[unsent_dest].choice is not None
+    second = next(iter(caller.attempts_in_flight))[0]
+    unsent_dest = 3 - int(caller.attempts_in_flight[second, 0][1:])
+    assert caller.forwarder.destinations[unsent_dest].pick is not None
     caller.step(
         EndpointListUpdate(
-            UpdateScope.DELTA, (member(f"t{unsent_dest}", dest=unsent_dest, status=EndpointStatus.DRAINING),)
+            UpdateScope.DELTA,
+            (endpoint_entry(f"t{unsent_dest}", dest=unsent_dest, status=EndpointStatus.DRAINING),),
         )
     )
     caller.end(second)
@@ -226,13 +227,13 @@
     """Regression (run riga-docs-hub): 31 senders retried a burst three times in step, an overload."""
     sends = list[int]()
     for number in range(30):
-        caller = Caller(member("t1", weight=2.0), member("t2", weight=2.0), replicas=150)
+        caller = Caller(endpoint_entry("t1", weight=2.0), endpoint_entry("t2", weight=2.0), replicas=150)
         caller.forwarder.rng.seed(number)
         caller.accept(left_us=60 * SECOND_US)
         start = caller.now
         for _ in range(150):
             caller.wait(SECOND_US // 10)
-            for ref, _attempt_number in list(caller.out):
+            for ref, _attempt_number in list(caller.attempts_in_flight):
                 caller.end(ref, Result.CONNECT_FAILED)
         sends += [t - start for t, _ in caller.sends(since=start + 1) if t - start > SECOND_US]
     busiest = max(sum(0 <= t - at < 2 * SECOND_US for t in sends) for at in sends)
@@ -243,24 +244,28 @@
 def test_trial_calls_do_not_take_slots_that_others_need(busy: bool) -> None:
     """Regression: hanging trials, two per silent endpoint, held 11 of 26 slots while 900 messages waited."""
     silent, healthy = range(1, 8), (20, 21, 22)
-    listed = [member(f"t{n}", dest=n, weight=20.0) for n in (*silent, *healthy)]
+    listed = [endpoint_entry(f"t{n}", dest=n, weight=20.0) for n in (*silent, *healthy)]
     caller = Caller(*listed, slots=24, most_held=1000)
     for dest in silent:
         caller.accept(dest=dest)
         while len(caller.logs()) < dest:
-            for ref in [r for (r, _), target in caller.out.items() if target == f"t{dest}"]:
+            for ref in [r for (r, _), target in caller.attempts_in_flight.items() if target == f"t{dest}"]:
                 caller.end(ref, Result.CONNECT_FAILED)
             caller.wait(SECOND_US // 10)
     for dest in (20, 21) * 10 + (22,) * 3 if busy else ():
         caller.accept("unsafe", dest=dest)
-    for ref in [r for (r, _), target in caller.out.items() if target not in ("t20", "t21", "t22")]:
+    for ref in [
+        r for (r, _), target in caller.attempts_in_flight.items() if target not in ("t20", "t21", "t22")
+    ]:
         caller.end(ref, Result.CONNECT_FAILED)  # earlier trial calls hang no longer
     at_once = 0
     for _ in range(60):
         caller.wait(SECOND_US // 10)
-        for (ref, _), target in list(caller.out.items()):
+        for (ref, _), target in list(caller.attempts_in_flight.items()):
             if target in ("t20", "t21", "t22"):
                 caller.end(ref)
                 caller.accept("unsafe", dest=int(target[1:]))
-        at_once = max(at_once, sum(target not in ("t20", "t21", "t22") for target in caller.out.values()))
+        at_once = max(
+            at_once, sum(target not in ("t20", "t21", "t22") for target in caller.attempts_in_flight.values())
+        )
     assert at_once == (2 if busy else 7)
--- a/tests/test_settings_range.py
+++ b/tests/test_settings_range.py
@@ -111,14 +111,14 @@
         self.exchange = Exchange(self.settings, self.rng.randint(1, 1 << 30), self, self.journal, TICK_US)
         self.exchange.endpoint_calls = self
         self.exchange.listeners["platform"] = self.ended
-        self.exchange.list_instances(
+        self.exchange.update_endpoints(
             UpdateScope.FULL, [i for i in self.endpoints if i.name not in self.draining_names]
         )
         owed = list(self.journal.owed.values())
         if previous is not None:
             self.exchange.pump()
             previous.close()
-        owed += self.journal.absorb() or []
+        owed += self.journal.take_over() or []
         assert {m.id for m in owed} == self.journal.owed.keys() == self.accepted.keys() - self.ends.keys()
         for message in owed:
             assert message.attempts_made >= len(self.begun_attempts.get(message.id, ()))
@@ -271,7 +271,7 @@
         status = EndpointStatus.LISTED if back else EndpointStatus.DRAINING
         (self.draining_names.discard if back else self.draining_names.add)(chosen.name)
         news = Endpoint(chosen.name, "h", 1, chosen.zone, chosen.kind, chosen.dest, status, 20.0)
-        self.exchange.list_instances(UpdateScope.DELTA, [news])
+        self.exchange.update_endpoints(UpdateScope.DELTA, [news])
 
 
 def kill(journal: Journal) -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -210,7 +210,7 @@
             asks.set()
             await asyncio.Event().wait()
 
-        monkeypatch.setattr(DiscoveryWatch, "first", first)
+        monkeypatch.setattr(DiscoveryWatch, "wait_for_first_list", first)
         running = asyncio.create_task(serve(lambda: rig.config(pushed=True)))
         await asks.wait()
         for number in (signal.SIGHUP, signal.SIGTERM):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -20,7 +20,7 @@
 )
 from rowanspindle.gossip import LISTEN_INTERVALS
 from rowanspindle.notes import Fact, FactKind, Note, endpoint_digest
-from tests.helpers import SECOND_US, Caller, member
+from tests.helpers import SECOND_US, Caller, endpoint_entry
 
 SENDERS = 40
 FALL_US = 2 * SECOND_US  # as in the settings
@@ -29,7 +29,7 @@
 
 def sender(**changes: object) -> Caller:
     """Return one sender of many, with two endpoints at a destination."""
-    listed = (member("a", weight=8.0), member("b", weight=8.0))
+    listed = (endpoint_entry("a", weight=8.0), endpoint_entry("b", weight=8.0))
     return Caller(*listed, replicas=SENDERS, peers=True, **changes)
 
 
@@ -39,11 +39,11 @@
     caller.end(caller.accept(left_us=LONG_US), Result.CONNECT_FAILED)
     for _ in range(8):
         caller.accept(left_us=LONG_US)
-    assert len(caller.out) == 1
+    assert len(caller.attempts_in_flight) == 1
     caller.wait(FALL_US)
     sibling = next(e for e in caller.forwarder.endpoints.values() if e.out_since is None)
     assert sibling.suspected
-    caller.end(next(iter(caller.out))[0], Result.OK)
+    caller.end(next(iter(caller.attempts_in_flight))[0], Result.OK)
     assert sibling.ramp_from is None  # the call had been sent at once: the sibling had no outage
 
 
@@ -52,7 +52,7 @@
     caller.end(caller.accept(left_us=LONG_US), Result.CONNECT_FAILED)
     sibling = next(e for e in caller.forwarder.endpoints.values() if e.out_since is None)
     caller.wait(FALL_US)
-    ref, _ = next(iter(caller.out))
+    ref, _ = next(iter(caller.attempts_in_flight))
     sibling.ramp_bucket.tokens = 1.0
     caller.end(ref, Result.CANCELLED)
     caller.end(ref)
@@ -75,9 +75,9 @@
     caller.end(caller.accept(left_us=LONG_US), Result.CONNECT_FAILED)
     first, sibling = sorted(caller.forwarder.endpoints.values(), key=lambda e: e.out_since is None)
     first.failure_confirmed = confirmed
-    caller.step(NoteReceived(3, Note(1, (Fact(FactKind.BACK, endpoint_digest(first.target)),))))
+    caller.step(NoteReceived(3, Note(1, (Fact(FactKind.RECOVERED, endpoint_digest(first.target)),))))
     caller.wait(SECOND_US // 10)
-    caller.step(NoteReceived(3, Note(2, (Fact(FactKind.BACK, endpoint_digest(first.target)),))))
+    caller.step(NoteReceived(3, Note(2, (Fact(FactKind.RECOVERED, endpoint_digest(first.target)),))))
     for endpoint in (first, sibling):
         assert endpoint.out_since is None and not endpoint.suspected
         assert (endpoint.ramp_from is not None) is confirmed
@@ -88,7 +88,7 @@
     caller = sender()
     outages = tuple(Outage(target, 990 * SECOND_US, back_at) for target in ("a", "late"))
     caller.step(OutagesRestored(outages))
-    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("late", weight=8.0),)))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (endpoint_entry("late", weight=8.0),)))
     for target in ("a", "late"):
         endpoint = caller.forwarder.endpoints[target]
         assert endpoint.suspected if back_at is None else endpoint.ramp_from == back_at
@@ -97,23 +97,23 @@
 
 @pytest.mark.parametrize(("away_us", "known"), [(20 * SECOND_US, True), (40 * SECOND_US, False)])
 def test_outage_is_remembered_for_a_while_after_its_endpoint_left_the_list(away_us: int, known: bool) -> None:
-    caller = Caller(member("a", weight=8.0), replicas=SENDERS)
+    caller = Caller(endpoint_entry("a", weight=8.0), replicas=SENDERS)
     caller.end(caller.accept(), Result.CONNECT_FAILED)
-    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("a", status=EndpointStatus.REMOVED),)))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (endpoint_entry("a", status=EndpointStatus.REMOVED),)))
     caller.wait(away_us)
-    caller.step(EndpointListUpdate(UpdateScope.DELTA, (member("a", weight=8.0),)))
+    caller.step(EndpointListUpdate(UpdateScope.DELTA, (endpoint_entry("a", weight=8.0),)))
     assert caller.forwarder.endpoints["a"].is_recovering(caller.now) is known
 
 
 def test_sender_that_just_began_to_receive_gossip_takes_an_even_share() -> None:
     caller = sender()
     caller.end(caller.accept(left_us=LONG_US), Result.CONNECT_FAILED)
-    gossip, work = caller.forwarder.gossip, (Fact(FactKind.WORK, 2, 1),)
+    gossip, work = caller.forwarder.gossip, (Fact(FactKind.HELD_MESSAGES, 2, 1),)
     for number in range(LISTEN_INTERVALS):
-        assert not gossip.informed(caller.now)
+        assert not gossip.listened_long_enough(caller.now)
         caller.step(NoteReceived(3, Note(number, work)))
         caller.wait(gossip.work_interval_us)
-    assert gossip.informed(caller.now)
+    assert gossip.listened_long_enough(caller.now)
 
 
 @pytest.mark.parametrize("method", ["begin_outage", "begin_cold"])
@@ -130,7 +130,7 @@
     """Regression: the first trial was timed for the few senders with new work, but all had work."""
     times: list[int] = []
     for number in range(SENDERS):
-        caller = Caller(member("a", weight=4.0), replicas=SENDERS)
+        caller = Caller(endpoint_entry("a", weight=4.0), replicas=SENDERS)
         caller.forwarder.rng.seed(number)
         ref = caller.accept(left_us=LONG_US)
         caller.end(ref, Result.CONNECT_FAILED)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -10,7 +10,7 @@
 from benchmarks.spread import Plan, herds, measure, parts
 from rowanspindle import Accept, EndpointListUpdate, Forwarder, Outcome, Result, Send, UpdateScope
 from rowanspindle.data_structures import RunningMean
-from tests.helpers import BASE, SECOND_US, Caller, member
+from tests.helpers import BASE, SECOND_US, Caller, endpoint_entry
 
 FLEET = Plan(senders=60, endpoints=6, phase=15.0, warm=5.0, seed=1)
 
@@ -37,14 +37,16 @@
 def test_a_new_endpoint_is_called_first_by_an_even_share_of_the_fleet(
     count: int, streams: int, min_value: int, max_value: int
 ) -> None:
-    listed = [member(f"t{n}") for n in range(count)]
+    listed = [endpoint_entry(f"t{n}") for n in range(count)]
     first_calls = 0
     for number in range(200):
         forwarder = Forwarder(replace(BASE, replicas=200, streams_per_conn=streams), number)
         forwarder.decide(0, [EndpointListUpdate(UpdateScope.FULL, tuple(listed))])
         sent = forwarder.decide(SECOND_US, [Accept(1, "safe", 1, 20 * SECOND_US)])
         (target,) = (a.target for a in sent if isinstance(a, Send))
-        forwarder.decide(2 * SECOND_US, [EndpointListUpdate(UpdateScope.FULL, (*listed, member("new")))])
+        forwarder.decide(
+            2 * SECOND_US, [EndpointListUpdate(UpdateScope.FULL, (*listed, endpoint_entry("new")))]
+        )
         forwarder.decide(2 * SECOND_US, [Outcome(1, 0, target, Result.OK, SECOND_US, True)])
         actions = forwarder.decide(3 * SECOND_US, [Accept(2, "safe", 1, 20 * SECOND_US)])
         first_calls += any(isinstance(a, Send) and a.target == "new" for a in actions)
@@ -57,7 +59,7 @@
 def test_with_eight_or_more_senders_a_higher_call_rate_uses_more_connections(
     senders: int, gap: float, min_value: int, max_value: int
 ) -> None:
-    caller = Caller(*(member(f"t{n}") for n in range(8)), streams_per_conn=8, replicas=senders)
+    caller = Caller(*(endpoint_entry(f"t{n}") for n in range(8)), streams_per_conn=8, replicas=senders)
     for _ in range(40):
         caller.end(caller.accept(), latency_us=50_000)
         caller.wait(int(gap * SECOND_US))
@@ -81,7 +83,7 @@
             for _ in range(count):
                 running_mean.add(rng.gauss(100.0, 20.0))
             means.append(running_mean.mean)
-            errors.append(running_mean.error())
+            errors.append(running_mean.standard_error())
         spread = (sum((m - 100.0) ** 2 for m in means) / len(means)) ** 0.5
         assert sum(errors) / len(errors) == pytest.approx(spread, rel=0.25)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 
 from rowanspindle import EndpointListUpdate, EndpointStatus, Forwarder, UpdateScope
 from rowanspindle.zones import call_shares
-from tests.helpers import BASE, SECOND_US, Caller, member
+from tests.helpers import BASE, SECOND_US, Caller, endpoint_entry
 
 CROSSING_PRICED = {"zone": "a", "zones": 2, "crossing_price": 0.084, "replicas": 200}
 
@@ -56,21 +56,23 @@
 def test_a_sender_calls_its_own_zone_up_to_an_even_share_of_each_endpoint(
     targets: str, changes: dict[str, object], min_calls: int, max_calls: int
 ) -> None:
-    listed = (member(name, zone=name[0]) for name in targets.split())
+    listed = (endpoint_entry(name, zone=name[0]) for name in targets.split())
     assert (
         min_calls <= count_calls_by_zone(Caller(*listed, **{**CROSSING_PRICED, **changes}))["a"] <= max_calls
     )
 
 
 def test_another_zone_gets_the_calls_that_the_own_zone_cannot_take() -> None:
-    caller = Caller(*(member(t, zone=t[0], weight=400.0) for t in ("a1", "b1")), **CROSSING_PRICED)
+    caller = Caller(*(endpoint_entry(t, zone=t[0], weight=400.0) for t in ("a1", "b1")), **CROSSING_PRICED)
     for _ in range(4):  # without answers: two calls in flight outweigh the price
         caller.accept()
     assert [send.target for _, send in caller.sends()] == ["a1", "a1", "a1", "b1"]
     for ref in range(1, 5):
         caller.end(ref)
     caller.step(
-        EndpointListUpdate(UpdateScope.DELTA, (member("a1", zone="a", status=EndpointStatus.DRAINING),))
+        EndpointListUpdate(
+            UpdateScope.DELTA, (endpoint_entry("a1", zone="a", status=EndpointStatus.DRAINING),)
+        )
     )
     assert count_calls_by_zone(caller, 3) == {"b": 3}
 
@@ -78,17 +80,19 @@
 def test_shares_are_recomputed_when_the_endpoint_list_changes() -> None:
     forwarder = Forwarder(replace(BASE, **CROSSING_PRICED), 1)  # type: ignore[arg-type]
     for now, listed, share in [(0, "b1", 1.0), (1, "a1 b1", 0.0), (2, "a1 b1 b2", 0.5), (3, "b1 b2", 1.0)]:
-        members = tuple(member(name, zone=name[0]) for name in listed.split())
+        members = tuple(endpoint_entry(name, zone=name[0]) for name in listed.split())
         forwarder.decide(now, [EndpointListUpdate(UpdateScope.FULL, members)])
-        assert forwarder.endpoints["b1"].share == pytest.approx(share), listed
-    gone = member("b2", zone="b", status=EndpointStatus.DRAINING)
-    forwarder.decide(4, [EndpointListUpdate(UpdateScope.DELTA, (gone, member("a1", zone="a")))])
-    assert forwarder.endpoints["b1"].share == 0.0
+        assert forwarder.endpoints["b1"].call_share == pytest.approx(share), listed
+    gone = endpoint_entry("b2", zone="b", status=EndpointStatus.DRAINING)
+    forwarder.decide(4, [EndpointListUpdate(UpdateScope.DELTA, (gone, endpoint_entry("a1", zone="a")))])
+    assert forwarder.endpoints["b1"].call_share == 0.0
 
 
 def test_a_destination_whose_last_endpoint_moves_away_is_forgotten() -> None:
     """Assigning its shares again recreated the empty destination, which then stayed forever."""
     forwarder = Forwarder(replace(BASE, **CROSSING_PRICED), 1)  # type: ignore[arg-type]
     for dest in (1, 2):
-        forwarder.decide(dest, [EndpointListUpdate(UpdateScope.FULL, (member("b1", dest=dest, zone="b"),))])
+        forwarder.decide(
+            dest, [EndpointListUpdate(UpdateScope.FULL, (endpoint_entry("b1", dest=dest, zone="b"),))]
+        )
     assert list(forwarder.destinations) == [2]
