--- a/rowanrack/channels_io/__init__.py
+++ b/rowanrack/channels_io/__init__.py
@@ -1,6 +1,7 @@
-"""The event log's I/O: what lets `rowanrack.channels`, which has none, live in a sender.
+"""The I/O of the event log; the log itself, in `rowanrack.channels`, does none.
 
-The package owns the log's thread and what waits for it (`writer`), the port for other sites and calls to
-theirs (`server`, `links`), what of the exchange is noted (`watching`), and the assembly. Sending never waits
-for any of it: what the log has no room or time for is counted and written as `lost`. See docs/channels.md.
+The package owns the log's thread and the queue in front of it (`writer`), the port for other sites and the
+calls to their ports (`server`, `links`), the observer that turns what happens in the exchange into events
+(`watching`), and the service that assembles them (`part`). Sending never waits for the log: events that it
+has no room or time for are dropped, counted, and written as one `lost` event. See docs/channels.md.
 """
--- a/rowanrack/channels_io/links.py
+++ b/rowanrack/channels_io/links.py
@@ -1,4 +1,4 @@
-"""Calls to other sites' logs over HTTP: the `Links` port on the stack that is there."""
+"""Calls to other sites' logs over HTTP: the `Links` port on top of the HTTP client of `rowanrack.net`."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import After, time_limit
 
-PATH = "/v1/log"
-BODY_MOST = 900 * 1024  # bytes of a request or an answer
-AT_ONCE = 4  # calls out to one site: an exchange, and reads beside it
-KEPT = 2  # connections to a site that stay open between calls
-RETRY_AFTER = "retry-after"
-TYPE = (("Content-Type", "application/msgpack"),)
+LOG_PATH = "/v1/log"
+MAX_BODY_BYTES = 900 * 1024  # of a request or an answer
+MAX_CALLS_PER_SITE = 4  # concurrent calls to one site: one for an exchange, the others for reads
+MAX_IDLE_PER_SITE = 2  # connections to one site that stay open between calls
+RETRY_AFTER_HEADER = "retry-after"
+MSGPACK_HEADERS = (("Content-Type", "application/msgpack"),)
 
 Address = tuple[str, int]
 
 
 class HttpLinks:
-    """Calls to the sites of the file. Giving one up closes its connection; none is sent twice."""
+    """Calls the sites of the site file. Cancelling a call closes its connection; no call is sent twice."""
 
     def __init__(self, after: After, sites: Mapping[str, Address]) -> None:
         self._after, self._sites = after, dict(sites)
         self._idle: dict[str, list[HttpCaller]] = {name: [] for name in sites}
-        self._out: dict[str, set[asyncio.Task[None]]] = {name: set() for name in sites}
+        self._running: dict[str, set[asyncio.Task[None]]] = {name: set() for name in sites}
 
     def call(self, site: str, body: bytes, timeout_us: int, done: Answered) -> Callable[[], None]:
         """Call a site; see `Links`."""
-        tasks = self._out.get(site)
+        tasks = self._running.get(site)
         why = (
             f"{site} is no site of the file"
             if tasks is None
             else f"{len(tasks)} calls are out to {site}"
-            if len(tasks) >= AT_ONCE
+            if len(tasks) >= MAX_CALLS_PER_SITE
             else f"{len(body)} bytes are more than a call may hold"
-            if len(body) > BODY_MOST
+            if len(body) > MAX_BODY_BYTES
             else ""
         )
         if tasks is None or why:
@@ -51,33 +51,33 @@
                 ended = True
                 done(answer, wait_us, why)
 
-        task = asyncio.ensure_future(self._carry(site, body, timeout_us, end))
+        task = asyncio.ensure_future(self._run_call(site, body, timeout_us, end))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
         task.add_done_callback(lambda _: end(None, 0, "given up"))
-        return lambda: void(task.cancel())
+        return lambda: discard_result(task.cancel())
 
-    async def _carry(self, site: str, body: bytes, timeout_us: int, end: Answered) -> None:
+    async def _run_call(self, site: str, body: bytes, timeout_us: int, end: Answered) -> None:
         caller: HttpCaller | None = None
         try:
             async with time_limit(self._after, timeout_us):
-                caller = await self._caller(site, timeout_us)
-                reply = await caller.call(Call("POST", PATH, TYPE, body))
+                caller = await self._connection(site, timeout_us)
+                reply = await caller.call(Call("POST", LOG_PATH, MSGPACK_HEADERS, body))
         except FAILURES as error:
-            late = isinstance(error, TimeoutError)
-            end(None, 0, "no answer in time" if late else str(error) or type(error).__name__)
+            timed_out = isinstance(error, TimeoutError)
+            end(None, 0, "no answer in time" if timed_out else str(error) or type(error).__name__)
             return
         finally:
-            if caller is not None and not (caller.reusable and self._keep(site, caller)):
+            if caller is not None and not (caller.reusable and self._keep_idle(site, caller)):
                 caller.stream.abort()
         if reply.status == 200 and reply.whole:
             end(reply.body, 0, "")
         else:
-            told = reply.headers.get(RETRY_AFTER, "")
-            wait_us = int(told) * 1_000_000 if told.isdecimal() and len(told) < 6 else 0
+            retry_after = reply.headers.get(RETRY_AFTER_HEADER, "")
+            wait_us = int(retry_after) * 1_000_000 if retry_after.isdecimal() and len(retry_after) < 6 else 0
             end(None, wait_us, f"answered {reply.status}" if reply.status != 200 else "a spoilt answer")
 
-    async def _caller(self, site: str, timeout_us: int) -> HttpCaller:
+    async def _connection(self, site: str, timeout_us: int) -> HttpCaller:
         idle = self._idle[site]
         while idle:
             if (caller := idle.pop()).reusable:
@@ -85,22 +85,22 @@
             caller.stream.abort()
         host, port = self._sites[site]
         stream = await Stream.connect(host, port)
-        return HttpCaller(stream, f"{host}:{port}", BODY_MOST, self._after, timeout_us)
+        return HttpCaller(stream, f"{host}:{port}", MAX_BODY_BYTES, self._after, timeout_us)
 
-    def _keep(self, site: str, caller: HttpCaller) -> bool:
+    def _keep_idle(self, site: str, caller: HttpCaller) -> bool:
         idle = self._idle[site]
-        if len(idle) >= KEPT:
+        if len(idle) >= MAX_IDLE_PER_SITE:
             return False
         idle.append(caller)
         return True
 
     def close(self) -> None:
-        """Give up what is out, and drop all connections."""
-        for task in [t for tasks in self._out.values() for t in tasks]:
+        """Cancel the running calls and close all connections."""
+        for task in [t for tasks in self._running.values() for t in tasks]:
             task.cancel()
         for caller in [c for idle in self._idle.values() for c in idle]:
             caller.stream.abort()
 
 
-def void(_: object) -> None:
-    """Nothing, of whatever was returned."""
+def discard_result(_: object) -> None:
+    """Discard the result of an expression, for use in a lambda that returns None."""
--- a/rowanrack/channels_io/memory_links.py
+++ b/rowanrack/channels_io/memory_links.py
@@ -1,4 +1,4 @@
-"""Links between sites in one process, with the faults that networks have: for tests and the model."""
+"""Links between sites in one process with injected network faults, for tests and the model."""
 
 from __future__ import annotations
 
@@ -9,55 +9,57 @@
 from rowanrack.channels.ports import Answered
 
 
-class Later(Protocol):
-    """A timer in whatever time the sites live in."""
+class Scheduler(Protocol):
+    """Schedules actions in real or simulated time, whichever the sites use."""
 
     def __call__(self, delay_us: int, action: Callable[[], None], /) -> object:
-        """Do it once the delay has passed."""
+        """Run the action once the delay has passed."""
 
 
-Serve = Callable[[bytes], tuple[bytes | None, int]]  # the answer, or None and a told wait in microseconds
+RequestHandler = Callable[
+    [bytes], tuple[bytes | None, int]
+]  # the answer, or None and a retry-after wait in us
 
 
 @dataclass
-class Weather:
-    """What a link does to the calls of one site to another."""
+class LinkState:
+    """The delay and the faults of the link from one site to another."""
 
     delay_us: int = 100
-    cut: bool = False  # calls fail at once
-    silent: bool = False  # calls come to nothing until their time is up
-    deaf: bool = False  # calls are carried out, and their answers are lost
+    unreachable: bool = False  # calls fail at once
+    drops_calls: bool = False  # calls are lost and end by their timeout
+    drops_answers: bool = False  # calls are executed, but their answers are lost
 
 
 @dataclass
-class Hub:
-    """All sites' links. Calls of `frm` are made through `links(frm)`."""
+class MemoryNetwork:
+    """The links between all sites. A site makes its calls through `links(site)`."""
 
-    later: Later
-    sites: dict[str, Serve] = field(default_factory=dict)
-    weather: dict[tuple[str, str], Weather] = field(default_factory=dict)
-    carried: int = 0  # calls carried out
-    bytes_carried: int = 0  # of requests and answers
+    schedule: Scheduler
+    sites: dict[str, RequestHandler] = field(default_factory=dict)
+    link_states: dict[tuple[str, str], LinkState] = field(default_factory=dict)
+    call_count: int = 0  # calls that were executed
+    transferred_bytes: int = 0  # of their requests and answers
 
-    def between(self, frm: str, to: str) -> Weather:
-        """The link of one site to another, to be changed in place."""
-        return self.weather.setdefault((frm, to), Weather())
+    def link_state(self, caller: str, callee: str) -> LinkState:
+        """Return the state of the link from one site to another; the caller may change it in place."""
+        return self.link_states.setdefault((caller, callee), LinkState())
 
-    def links(self, frm: str) -> MemoryLinks:
-        """The `Links` of a site."""
-        return MemoryLinks(self, frm)
+    def links(self, caller: str) -> MemoryLinks:
+        """Return the `Links` of a site."""
+        return MemoryLinks(self, caller)
 
 
 @dataclass
 class MemoryLinks:
-    """One site's calls over a hub; see `Links`."""
+    """The calls of one site over an in-memory network; see `Links`."""
 
-    hub: Hub
-    frm: str
+    network: MemoryNetwork
+    caller: str
 
     def call(self, site: str, body: bytes, timeout_us: int, done: Answered) -> Callable[[], None]:
-        """Call a site."""
-        link, ended = self.hub.between(self.frm, site), False
+        """Call a site; see `Links`."""
+        link, ended = self.network.link_state(self.caller, site), False
 
         def end(answer: bytes | None, wait_us: int, why: str) -> None:
             nonlocal ended
@@ -66,19 +68,19 @@
                 done(answer, wait_us, why)
 
         def arrive() -> None:
-            if ended or link.silent:
+            if ended or link.drops_calls:
                 return
-            serve = self.hub.sites.get(site)
-            if serve is None or link.cut:
+            serve = self.network.sites.get(site)
+            if serve is None or link.unreachable:
                 end(None, 0, f"{site} cannot be reached")
                 return
-            self.hub.carried += 1
+            self.network.call_count += 1
             answer, wait_us = serve(body)
-            self.hub.bytes_carried += len(body) + len(answer or b"")
+            self.network.transferred_bytes += len(body) + len(answer or b"")
             why = "" if answer is not None else "refused"
-            if not link.deaf:
-                self.hub.later(link.delay_us, lambda: end(answer, wait_us, why))
+            if not link.drops_answers:
+                self.network.schedule(link.delay_us, lambda: end(answer, wait_us, why))
 
-        self.hub.later(link.delay_us, arrive)
-        self.hub.later(timeout_us, lambda: end(None, 0, "no answer in time"))
+        self.network.schedule(link.delay_us, arrive)
+        self.network.schedule(timeout_us, lambda: end(None, 0, "no answer in time"))
         return lambda: end(None, 0, "given up")
--- a/rowanrack/channels_io/server.py
+++ b/rowanrack/channels_io/server.py
@@ -4,44 +4,46 @@
 
 from collections.abc import Awaitable, Callable
 
-from rowanrack.channels_io.links import BODY_MOST, PATH
+from rowanrack.channels_io.links import LOG_PATH, MAX_BODY_BYTES
 from rowanrack.core.exchange import Exchange
 from rowanrack.net.http import TOO_SLOW, HttpError, HttpServed, Reply
 from rowanrack.net.listener import Listener, State
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import after
 
-OWED_US = 5_000_000  # for a whole request: a batch over a slow link
-BUSY_S = 1  # told to a site that meets a log that is behind
+REQUEST_TIMEOUT_US = 5_000_000  # to receive a whole request: a batch may come over a slow link
+RETRY_AFTER_S = 1  # retry-after wait sent to a site while the log is overloaded
 
-Answer = Callable[[bytes], Awaitable[bytes | None]]  # None: the log is behind, come again
+RequestHandler = Callable[
+    [bytes], Awaitable[bytes | None]
+]  # None: the log is overloaded, the caller should retry
 
 
 class SitesServer(Listener):
-    """Answers other sites; bad input ends only its own connection."""
+    """Serves the requests of other sites. Malformed input closes only the connection that it came on."""
 
     too_slow = TOO_SLOW
-    owed_us = OWED_US
+    owed_us = REQUEST_TIMEOUT_US
 
-    def __init__(self, exchange: Exchange, most: int, answer: Answer) -> None:
-        super().__init__(most, exchange)
-        self.after, self._answer = after, answer
+    def __init__(self, exchange: Exchange, max_connections: int, answer: RequestHandler) -> None:
+        super().__init__(max_connections, exchange)
+        self.after, self._handle_request = after, answer
 
     async def talk(self, stream: Stream) -> None:
-        """Read a request, answer it, and the next one."""
-        served, more = HttpServed(stream, BODY_MOST), True
+        """Serve the requests of one connection, one after another."""
+        served, more = HttpServed(stream, MAX_BODY_BYTES), True
         while more:
             try:
                 request = await served.receive(lambda: self.mark(stream, State.OWING))
-            except HttpError as bad:
-                wire = served.wire(Reply(bad.status, {"Connection": "close"}))
-                await self.farewell(stream, wire, str(bad))
+            except HttpError as error:
+                wire = served.wire(Reply(error.status, {"Connection": "close"}))
+                await self.farewell(stream, wire, str(error))
                 return
             if request is None:
                 return
             self.mark(stream, State.BUSY)
-            if request.target != PATH or request.method != "POST":
-                reply = Reply(404 if request.target != PATH else 405, {"Connection": "close"})
+            if request.target != LOG_PATH or request.method != "POST":
+                reply = Reply(404 if request.target != LOG_PATH else 405, {"Connection": "close"})
             else:
                 reply = await self._reply(request.body)
             more = await served.answer(reply) and not self.draining
@@ -49,9 +51,9 @@
 
     async def _reply(self, body: bytes) -> Reply:
         try:
-            answered = await self._answer(body)
-        except ValueError as bad:
-            return Reply(400, {"Connection": "close"}, (str(bad) + "\n").encode())
+            answered = await self._handle_request(body)
+        except ValueError as error:
+            return Reply(400, {"Connection": "close"}, (str(error) + "\n").encode())
         if answered is None:
-            return Reply(503, {"Retry-After": str(BUSY_S)})
+            return Reply(503, {"Retry-After": str(RETRY_AFTER_S)})
         return Reply(200, {"Content-Type": "application/msgpack"}, answered)
--- a/rowanrack/channels_io/watching.py
+++ b/rowanrack/channels_io/watching.py
@@ -1,4 +1,4 @@
-"""What the exchange tells its observers, as events of the channels. It only notes; nothing here waits."""
+"""Turns what the exchange tells its observers into events of the channels. Nothing here blocks."""
 
 from __future__ import annotations
 
@@ -9,84 +9,87 @@
 from rowanrack.core.messages import Attempt, End, Ending, Endpoint, Message, Refusal
 from rowanspindle import EndpointStatus, Result
 
-OF_STATUS = {
+EVENT_KIND_BY_STATUS = {
     EndpointStatus.LISTED: kinds.LISTED,
     EndpointStatus.DRAINING: kinds.DRAINING,
     EndpointStatus.REMOVED: kinds.GONE,
 }
-OF_ENDING = {Ending.DELIVERED: kinds.DELIVERED, Ending.REFUSED: kinds.REFUSED}  # any other: FAILED
+EVENT_KIND_BY_ENDING = {Ending.DELIVERED: kinds.DELIVERED, Ending.REFUSED: kinds.REFUSED}  # others are FAILED
 
 
-class Noting(Protocol):
-    """Where events go: kept in memory for a moment, then written by the log's thread."""
+class EventSink(Protocol):
+    """Accepts events, which stay in memory until the log's thread writes them."""
 
-    def later(self, what: tuple[int, str, dict[str, Any], int], /) -> None:
-        """Note an event: its destination, kind, payload, which nobody changes any more, and Unix time."""
+    def add_unpacked(self, event: tuple[int, str, dict[str, Any], int], /) -> None:
+        """Add an event: its destination, kind, payload and Unix time. The payload must not change later."""
 
 
-class Watching:
-    """An `Observer` of the exchange that notes events; `ids` says whether they name messages."""
+class ExchangeObserver:
+    """An `Observer` of the exchange that logs events; with `ids` they carry the ids of messages."""
 
-    def __init__(self, exchange: Exchange, notes: Noting, ids: bool) -> None:
+    def __init__(self, exchange: Exchange, events: EventSink, ids: bool) -> None:
         self._exchange, self._ids = exchange, ids
-        self._later, self._unix_us = notes.later, exchange.clock.unix_us
-        self._given: dict[str, tuple[int, EndpointStatus]] = {}  # each endpoint as last noted
-        self._out: set[str] = set()  # endpoints in an outage as last noted
+        self._add_unpacked, self._unix_us = events.add_unpacked, exchange.clock.unix_us
+        self._listed: dict[str, tuple[int, EndpointStatus]] = {}  # by endpoint, as last logged
+        self._in_outage: set[str] = set()  # endpoints whose outage was logged and has not ended
 
     def start(self) -> None:
-        """Watch from now on; what is listed already is noted."""
+        """Start observing, and log the endpoints that are listed already."""
         self._exchange.observe(self)
         self.listed(self._exchange.table.instances(), [])
 
-    def _note(self, dest: int, what: str, payload: dict[str, Any], message: Message | None = None) -> None:
+    def _log(self, dest: int, kind: str, payload: dict[str, Any], message: Message | None = None) -> None:
         if message is not None and self._ids:
             payload["message"] = message.id
-        self._later((dest, what, payload, self._unix_us()))
+        self._add_unpacked((dest, kind, payload, self._unix_us()))
 
     def taken(self, message: Message, left_us: int) -> None:
-        """A message is owned, just taken or found at the start."""
+        """Log that the sender owns a message, which it has just accepted or found in its journal."""
         payload = {"class": message.cls, "left_us": left_us, "tenant": message.tenant}
-        self._note(message.dest, kinds.TAKEN, payload, message)
+        self._log(message.dest, kinds.TAKEN, payload, message)
 
     def turned_away(self, message: Message | None, refusal: Refusal) -> None:
-        """A message is not taken: it never was the channel's."""
+        """Log nothing: a message that was not accepted does not belong to the channel."""
 
     def listed(self, news: list[Endpoint], gone: list[str]) -> None:
-        """News of instances."""
-        for i in news:
-            if self._given.get(i.name) != (i.dest, i.status):
-                self._given[i.name] = i.dest, i.status
-                payload = {"endpoint": i.name, "kind": i.kind, "rate": i.rate}
-                self._note(i.dest, OF_STATUS[i.status], payload)
-        for name in [*gone, *(i.name for i in news if i.status is EndpointStatus.REMOVED)]:
-            dest, status = self._given.pop(name, (0, EndpointStatus.REMOVED))
-            self._out.discard(name)
+        """Log the changes of the endpoint list."""
+        for endpoint in news:
+            if self._listed.get(endpoint.name) != (endpoint.dest, endpoint.status):
+                self._listed[endpoint.name] = endpoint.dest, endpoint.status
+                payload = {"endpoint": endpoint.name, "kind": endpoint.kind, "rate": endpoint.rate}
+                self._log(endpoint.dest, EVENT_KIND_BY_STATUS[endpoint.status], payload)
+        for name in [
+            *gone,
+            *(endpoint.name for endpoint in news if endpoint.status is EndpointStatus.REMOVED),
+        ]:
+            dest, status = self._listed.pop(name, (0, EndpointStatus.REMOVED))
+            self._in_outage.discard(name)
             if status is not EndpointStatus.REMOVED:
-                self._note(dest, kinds.GONE, {"endpoint": name})
+                self._log(dest, kinds.GONE, {"endpoint": name})
 
     def began(self, attempt: Attempt) -> None:
-        """A call's first byte is about to go out."""
+        """Log that a call's first byte is about to be sent."""
         message, payload = attempt.message, {"endpoint": attempt.endpoint.name, "leg": attempt.attempt_number}
-        self._note(message.dest, kinds.BEGUN, payload, message)
+        self._log(message.dest, kinds.BEGUN, payload, message)
 
     def settled(self, attempt: Attempt, result: Result, wait_us: int) -> None:
-        """A call has ended."""
+        """Log a call that was begun and failed, and the retry-after wait that its answer asked for."""
         message, name = attempt.message, attempt.endpoint.name
         if attempt.begun and result is not Result.OK:
             kind = kinds.MAY_HAVE_RUN if result in MAYBE_RAN else kinds.NEVER_RAN
             payload = {"endpoint": name, "leg": attempt.attempt_number, "result": result.value}
-            self._note(message.dest, kind, payload, message)
+            self._log(message.dest, kind, payload, message)
         if wait_us:
-            self._note(message.dest, kinds.WAIT, {"endpoint": name, "wait_us": wait_us})
+            self._log(message.dest, kinds.WAIT, {"endpoint": name, "wait_us": wait_us})
 
     def ended(self, message: Message, end: End) -> None:
-        """A message has ended."""
-        again = {"again_us": end.retry_us} if end.ending is Ending.REFUSED else {}
-        self._note(message.dest, OF_ENDING.get(end.ending, kinds.FAILED), again, message)
+        """Log the final answer of a message."""
+        payload = {"again_us": end.retry_us} if end.ending is Ending.REFUSED else {}
+        self._log(message.dest, EVENT_KIND_BY_ENDING.get(end.ending, kinds.FAILED), payload, message)
 
-    def look(self) -> None:
-        """Note outages that the module has seen begin or end since the last look."""
+    def log_outage_changes(self) -> None:
+        """Log the outages that the decision module has seen begin or end since the last call."""
         for name, endpoint in self._exchange.forwarder.endpoints.items():
-            if (out := endpoint.out_since is not None) is not (name in self._out):
-                (self._out.add if out else self._out.discard)(name)
-                self._note(endpoint.dest, kinds.OUT if out else kinds.BACK, {"endpoint": name})
+            if (in_outage := endpoint.out_since is not None) is not (name in self._in_outage):
+                (self._in_outage.add if in_outage else self._in_outage.discard)(name)
+                self._log(endpoint.dest, kinds.OUT if in_outage else kinds.BACK, {"endpoint": name})
--- a/rowanrack/channels_io/writer.py
+++ b/rowanrack/channels_io/writer.py
@@ -1,8 +1,8 @@
-"""Writing events without ever making the sender wait: what is noted waits in memory for the log's thread.
+"""Writes events without ever blocking the sender: they are queued in memory for the log's thread.
 
-`Backlog` decides what to hand over, what to drop and when to try again, without I/O; `LogThread` owns the
-store and runs jobs on it; `Notes` ties the two to the event loop. Times are microseconds: `now_us` on a clock
-that never goes back, `at_us` Unix time.
+`Backlog` decides what to write next, what to drop and when to retry, without I/O; `LogThread` owns the store
+and runs jobs on it; `EventWriter` connects the two with the event loop. Times are in microseconds: `now_us`
+is read from a monotonic clock, `at_us` is Unix time.
 """
 
 from __future__ import annotations
@@ -24,257 +24,276 @@
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
-EACH = 200  # bytes of memory that a noted event counts beside its payload
-GATHER_US = 1_000_000  # for so long a noted event waits for others; one of FLEET does not
-BATCH = 500  # or until there are so many
-AGAIN_US, AGAIN_MOST_US = 200_000, 5_000_000  # the wait behind a failure: doubled each time, up to the second
-CALM_US = 10_000_000
-JOBS = 256  # that may wait for the log's thread
-CLOSE_S = 0.5
+EVENT_OVERHEAD_BYTES = 200  # memory that a queued event is charged for beside its payload
+BATCH_DELAY_US = 1_000_000  # how long an event waits for others in its batch; one of FLEET doesn't
+MAX_BATCH_COUNT = 500  # largest number of events in a batch; a full batch is written at once
+MIN_BACKOFF_US, MAX_BACKOFF_US = 200_000, 5_000_000  # the back-off doubles from the first to the second
+REPORT_PAUSE_US = 10_000_000  # no new failure is reported for so long after a recovery
+MAX_JOB_COUNT = 256  # jobs that may wait for the log's thread
+CLOSE_TIMEOUT_S = 0.5  # default time limit for closing
 
 
-class Missing(NamedTuple):
+class DroppedEvents(NamedTuple):
     """Events of a channel that were dropped: how many, and when the first and the last of them happened."""
 
-    many: int
+    event_count: int
     first_us: int
     last_us: int
 
-    def and_also(self, other: Missing) -> Missing:
-        """Both."""
+    def merged_with(self, other: DroppedEvents) -> DroppedEvents:
+        """Return the sum of two records of the same channel."""
         first_us, last_us = min(self.first_us, other.first_us), max(self.last_us, other.last_us)
-        return Missing(self.many + other.many, first_us, last_us)
+        return DroppedEvents(self.event_count + other.event_count, first_us, last_us)
 
-    def noted(self, channel: str) -> Noted:
-        """The event that says so."""
-        payload = {"count": self.many, "from": self.first_us, "to": self.last_us}
+    def lost_event(self, channel: str) -> Noted:
+        """Return the `lost` event that reports them."""
+        payload = {"count": self.event_count, "from": self.first_us, "to": self.last_us}
         return Noted(channel, LOST, packed(payload), self.last_us)
 
 
 @dataclass(slots=True)
 class Backlog:
-    """Events noted and not yet kept, within bounds; at most one batch of them is handed over at a time.
+    """A bounded queue of the events that are not written yet; at most one batch of them is in flight.
 
-    Of more than the bounds the oldest are dropped and counted by channel; their `lost` is written ahead of
-    all that happened later. `say` gets one line when trouble begins and one when it is over;
-    trouble that comes back within ten seconds is told once it has lasted so long.
+    When the queue is full, the oldest events are dropped and counted by channel; the `lost` event that
+    reports them is written ahead of all later events. `report` gets one line when writing begins to fail and
+    one when it works again. A failure within ten seconds after a recovery is reported only if it still
+    lasts when they are over, so that a log that fails again and again doesn't flood the sender's own log.
     """
 
-    say: Callable[[str], None]
-    most: int = 20_000
-    most_bytes: int = 8 * 1024 * 1024
-    missing: dict[str, Missing] = field(default_factory=dict)
+    report: Callable[[str], None]
+    max_events: int = 20_000
+    max_bytes: int = 8 * 1024 * 1024
+    dropped: dict[str, DroppedEvents] = field(default_factory=dict)
     _waiting: deque[Noted] = field(default_factory=deque)
-    _bytes: int = 0  # of those that wait
-    _urgent: bool = False  # whether one of them is of FLEET: operators wait for it
-    _since_us: int = 0  # when the first of them was noted
-    _batch: int = BATCH  # fewer once a batch was refused, until the one at fault is alone
-    _out: list[Noted] | None = None  # handed over
-    _out_missing: dict[str, Missing] = field(default_factory=dict)
-    _again_us: int = 0
-    _wait_us: int = 0
-    _trouble_us: int | None = None  # since when
-    _told: bool = False  # whether its line was said
-    _quiet_us: int = 0  # until then no trouble is said to begin
-    _dropped: int = 0  # and not yet told
+    _waiting_bytes: int = 0  # memory charged for the waiting events
+    _fleet_event_waits: bool = False  # whether an event of FLEET is waiting: operators wait for its effect
+    _waiting_since_us: int = 0  # when the first waiting event was added, or the last batch written
+    _batch_limit: int = MAX_BATCH_COUNT  # halved while a rejected event is searched for
+    _in_flight: list[Noted] | None = None  # the batch in flight
+    _in_flight_dropped: dict[str, DroppedEvents] = field(default_factory=dict)
+    _retry_at_us: int = 0  # when to retry after a failure
+    _backoff_us: int = 0  # current back-off; 0 unless the last batch failed
+    _failing_since_us: int | None = None  # since when writing fails; None while it works
+    _failure_reported: bool = False  # whether the current failure was reported
+    _report_from_us: int = 0  # no failure is reported before this time
+    _unreported_count: int = 0  # events dropped since the last report
 
     def __len__(self) -> int:
-        """How many are not kept yet."""
-        return len(self._waiting) + len(self._out or ())
+        """Return how many events are not written yet."""
+        return len(self._waiting) + len(self._in_flight or ())
 
     def oldest_us(self) -> int | None:
-        """When the first of them happened, Unix time; also asked by the log's thread. None without any."""
-        times = [missing.first_us for missing in list(self.missing.values())]
-        for noted in (self._out, self._waiting):
+        """Return the Unix time of the oldest unwritten event, None without any. Thread-safe."""
+        times = [dropped.first_us for dropped in list(self.dropped.values())]
+        for noted in (self._in_flight, self._waiting):
             with contextlib.suppress(IndexError, TypeError):
                 times.append(noted[0].at_us)  # type: ignore[index]
         return min(times, default=None)
 
     @property
     def busy(self) -> bool:
-        """Whether a batch is handed over."""
-        return self._out is not None
+        """Whether a batch is in flight."""
+        return self._in_flight is not None
 
     @property
     def failing(self) -> bool:
         """Whether the last batch failed."""
-        return self._wait_us > 0
+        return self._backoff_us > 0
 
-    def note(self, noted: Noted, now_us: int) -> bool:
-        """Remember an event. True if it may be time to hand some over: look at `next_at` anew."""
+    def add(self, noted: Noted, now_us: int) -> bool:
+        """Queue an event. Returns True if `next_at` may have changed."""
         waiting = self._waiting
         if not waiting:
-            self._since_us = now_us
+            self._waiting_since_us = now_us
         waiting.append(noted)
-        self._bytes += EACH + len(noted.data)
-        if len(waiting) > self.most or self._bytes > self.most_bytes:
-            self._drop("the log is too slow", now_us)
+        self._waiting_bytes += EVENT_OVERHEAD_BYTES + len(noted.data)
+        if len(waiting) > self.max_events or self._waiting_bytes > self.max_bytes:
+            self._drop_oldest("the log is too slow", now_us)
         if noted.channel == FLEET:
-            self._urgent = True
+            self._fleet_event_waits = True
             return True
-        return len(waiting) in (1, self._batch)
-
-    def _drop(self, why: str, now_us: int) -> None:
-        while self._waiting and (len(self._waiting) > self.most or self._bytes > self.most_bytes):
-            self._miss(self._waiting.popleft())
-            self._dropped += 1
-        self._begins(why, now_us)
-
-    def _miss(self, noted: Noted) -> None:
-        self._bytes -= EACH + len(noted.data)
-        self._missed(noted.channel, Missing(1, noted.at_us, noted.at_us))
-
-    def _missed(self, channel: str, more: Missing) -> None:
-        known = self.missing.get(channel)
-        self.missing[channel] = known.and_also(more) if known is not None else more
-
-    def _begins(self, why: str, now_us: int) -> None:
-        if self._trouble_us is None:
-            self._trouble_us = now_us
-        if not self._told and now_us >= self._quiet_us:
-            self._told = True
-            self.say(f"event log: events are not written: {why}")
+        return len(waiting) in (1, self._batch_limit)
+
+    def _drop_oldest(self, reason: str, now_us: int) -> None:
+        while self._waiting and (
+            len(self._waiting) > self.max_events or self._waiting_bytes > self.max_bytes
+        ):
+            self._drop_event(self._waiting.popleft())
+            self._unreported_count += 1
+        self._report_failure(reason, now_us)
+
+    def _drop_event(self, noted: Noted) -> None:
+        self._waiting_bytes -= EVENT_OVERHEAD_BYTES + len(noted.data)
+        self._count_dropped(noted.channel, DroppedEvents(1, noted.at_us, noted.at_us))
+
+    def _count_dropped(self, channel: str, more: DroppedEvents) -> None:
+        known = self.dropped.get(channel)
+        self.dropped[channel] = known.merged_with(more) if known is not None else more
+
+    def _report_failure(self, reason: str, now_us: int) -> None:
+        if self._failing_since_us is None:
+            self._failing_since_us = now_us
+        if not self._failure_reported and now_us >= self._report_from_us:
+            self._failure_reported = True
+            self.report(f"event log: events are not written: {reason}")
 
     def next_at(self) -> int | None:
-        """When to hand over; None while a batch is out, or with nothing to write."""
-        if self._out is not None or not (self._waiting or self.missing):
+        """Return when to take the next batch; None while one is in flight or there is nothing to write."""
+        if self._in_flight is not None or not (self._waiting or self.dropped):
             return None
         if self.failing:
-            return self._again_us
-        now = self._urgent or len(self._waiting) >= self._batch or bool(self.missing)
-        return self._since_us + (0 if now else GATHER_US)
-
-    def take(self) -> list[Noted]:
-        """The next batch, `lost` events first. `wrote`, `failed` or `refused` must follow."""
-        channels = list(self.missing)[: self._batch]
-        self._out_missing = {channel: self.missing.pop(channel) for channel in channels}
-        count = min(self._batch - len(channels), len(self._waiting))
-        self._out = list(islice(self._waiting, count))
-        for _ in self._out:  # behind that: the log's thread asks for the oldest at any moment
+            return self._retry_at_us
+        now = self._fleet_event_waits or len(self._waiting) >= self._batch_limit or bool(self.dropped)
+        return self._waiting_since_us + (0 if now else BATCH_DELAY_US)
+
+    def take_batch(self) -> list[Noted]:
+        """Return the next batch, `lost` events first. Report its result by `batch_written`, `batch_failed`
+        or `batch_rejected`.
+        """
+        channels = list(self.dropped)[: self._batch_limit]
+        self._in_flight_dropped = {channel: self.dropped.pop(channel) for channel in channels}
+        count = min(self._batch_limit - len(channels), len(self._waiting))
+        self._in_flight = list(islice(self._waiting, count))
+        for _ in self._in_flight:  # only now, as the log's thread may call `oldest_us` at any moment
             self._waiting.popleft()
-        self._urgent = self._urgent and any(noted.channel == FLEET for noted in self._waiting)
-        self._bytes -= sum(EACH + len(noted.data) for noted in self._out)
-        return [*(missing.noted(channel) for channel, missing in self._out_missing.items()), *self._out]
-
-    def wrote(self, now_us: int) -> None:
-        """The batch is kept."""
-        self._out, self._out_missing, self._wait_us = None, {}, 0
-        self._since_us, self._batch = now_us, min(self._batch * 2, BATCH)
-        if self._trouble_us is not None and not self.missing:
-            took, lost = (now_us - self._trouble_us) / 1e6, self._dropped
-            self._trouble_us = None
-            if self._told:
-                self._told, self._dropped, self._quiet_us = False, 0, now_us + CALM_US
-                self.say(f"event log: written again after {took:.1f} s, {lost} events lost")
-
-    def failed(self, why: str, now_us: int) -> None:
-        """The batch is not kept, and may be later: all of it waits again, as far as the bounds allow."""
-        self._back(now_us)
-        self._wait_us = min(max(2 * self._wait_us, AGAIN_US), AGAIN_MOST_US)
-        self._again_us = now_us + self._wait_us
-        self._begins(why, now_us)
-
-    def refused(self, why: str, now_us: int) -> None:
-        """The batch is not kept and never will be: the event at fault is found by halves, and dropped."""
-        out = len(self._out or ()) + len(self._out_missing)
-        if out > 1:
-            self._back(now_us)
-            self._batch = out // 2
+        self._fleet_event_waits = self._fleet_event_waits and any(
+            noted.channel == FLEET for noted in self._waiting
+        )
+        self._waiting_bytes -= sum(EVENT_OVERHEAD_BYTES + len(noted.data) for noted in self._in_flight)
+        return [
+            *(dropped.lost_event(channel) for channel, dropped in self._in_flight_dropped.items()),
+            *self._in_flight,
+        ]
+
+    def batch_written(self, now_us: int) -> None:
+        """Handle a batch that was written."""
+        self._in_flight, self._in_flight_dropped, self._backoff_us = None, {}, 0
+        self._waiting_since_us, self._batch_limit = now_us, min(self._batch_limit * 2, MAX_BATCH_COUNT)
+        if self._failing_since_us is not None and not self.dropped:
+            failed_s, lost = (now_us - self._failing_since_us) / 1e6, self._unreported_count
+            self._failing_since_us = None
+            if self._failure_reported:
+                self._failure_reported, self._unreported_count, self._report_from_us = (
+                    False,
+                    0,
+                    now_us + REPORT_PAUSE_US,
+                )
+                self.report(f"event log: written again after {failed_s:.1f} s, {lost} events lost")
+
+    def batch_failed(self, reason: str, now_us: int) -> None:
+        """Handle a batch that failed and may succeed later: queue it again, as far as the bounds allow."""
+        self._requeue_batch(now_us)
+        self._backoff_us = min(max(2 * self._backoff_us, MIN_BACKOFF_US), MAX_BACKOFF_US)
+        self._retry_at_us = now_us + self._backoff_us
+        self._report_failure(reason, now_us)
+
+    def batch_rejected(self, reason: str, now_us: int) -> None:
+        """Handle a batch that can never be written: find the event at fault by bisection, and drop it."""
+        batch_size = len(self._in_flight or ()) + len(self._in_flight_dropped)
+        if batch_size > 1:
+            self._requeue_batch(now_us)
+            self._batch_limit = batch_size // 2
             return
-        alone, self._out, self._out_missing = self._out, None, {}
-        self._dropped += 1
-        self._begins(why, now_us)
-        for noted in alone or ():
-            self._missed(noted.channel, Missing(1, noted.at_us, noted.at_us))
-
-    def _back(self, now_us: int) -> None:
-        for channel, missing in self._out_missing.items():
-            self._missed(channel, missing)
-        for noted in reversed(self._out or ()):
+        batch, self._in_flight, self._in_flight_dropped = self._in_flight, None, {}
+        self._unreported_count += 1
+        self._report_failure(reason, now_us)
+        for noted in batch or ():
+            self._count_dropped(noted.channel, DroppedEvents(1, noted.at_us, noted.at_us))
+
+    def _requeue_batch(self, now_us: int) -> None:
+        for channel, dropped in self._in_flight_dropped.items():
+            self._count_dropped(channel, dropped)
+        for noted in reversed(self._in_flight or ()):
             self._waiting.appendleft(noted)
-            self._bytes += EACH + len(noted.data)
-            self._urgent |= noted.channel == FLEET
-        self._out, self._out_missing = None, {}
-        if len(self._waiting) > self.most or self._bytes > self.most_bytes:
-            self._drop("there is no room", now_us)
+            self._waiting_bytes += EVENT_OVERHEAD_BYTES + len(noted.data)
+            self._fleet_event_waits |= noted.channel == FLEET
+        self._in_flight, self._in_flight_dropped = None, {}
+        if len(self._waiting) > self.max_events or self._waiting_bytes > self.max_bytes:
+            self._drop_oldest("the queue is full", now_us)
 
-    def counts(self) -> Counter[str]:
-        """Events dropped and not yet written as `lost`, by channel."""
-        return Counter({channel: missing.many for channel, missing in self.missing.items()})
+    def dropped_counts(self) -> Counter[str]:
+        """Return the number of events by channel that were dropped and not yet written as `lost`."""
+        return Counter({channel: dropped.event_count for channel, dropped in self.dropped.items()})
 
 
-Fresh = tuple[int, str, dict[str, Any], int]  # destination, kind, payload, and when: Unix time
+UnpackedEvent = tuple[int, str, dict[str, Any], int]  # destination, kind, payload and Unix time
 Job = tuple[Callable[[], object], Callable[[object, Exception | None], None]]
 
 
 class LogThread:
-    """One daemon thread that alone touches the store. Everything but the jobs is called on the loop."""
+    """The only thread that uses the store, a daemon thread. All but the jobs is called on the event loop."""
 
-    def __init__(self, finish: Callable[[], None], most: int = JOBS) -> None:
-        """`finish` runs on the thread as its last act; `most` jobs may wait."""
-        self._finish, self._most = finish, most
+    def __init__(self, close_store: Callable[[], None], max_jobs: int = MAX_JOB_COUNT) -> None:
+        """`close_store` runs on the thread after the last job; at most `max_jobs` jobs wait."""
+        self._close_store, self._max_jobs = close_store, max_jobs
         self._jobs: deque[Job] = deque()
-        self._changed = threading.Condition()
-        self._ending = False
-        self._ended = asyncio.Event()
+        self._condition = threading.Condition()
+        self._closing = False
+        self._closed = asyncio.Event()
         self._loop: asyncio.AbstractEventLoop | None = None
         self._thread = threading.Thread(target=self._run, name="event-log", daemon=True)
 
     def start(self) -> None:
-        """Begin; jobs may be submitted from now on."""
+        """Start the thread. Must be called on the event loop."""
         self._loop = asyncio.get_running_loop()
         self._thread.start()
 
     def submit(self, job: Callable[[], T], done: Callable[[T | None, Exception | None], None]) -> bool:
-        """Have the thread run a job; `done` then hears once, on the loop, what it gave or raised.
+        """Queue a job; `done` is called once, on the event loop, with what the job returned or raised.
 
-        Never waits: False, and nothing is run, if too many wait already or it is ending.
+        Never blocks. Returns False, and doesn't run the job, if the queue is full or the thread is closing.
         """
-        with self._changed:
-            if self._ending or len(self._jobs) >= self._most:
+        with self._condition:
+            if self._closing or len(self._jobs) >= self._max_jobs:
                 return False
             self._jobs.append((job, done))  # type: ignore[arg-type]
-            self._changed.notify()
+            self._condition.notify()
         return True
 
-    async def close(self, within_s: float = CLOSE_S) -> bool:
-        """End it: waiting jobs hear LogError. False if it takes longer: it then goes with the process."""
-        with self._changed:
-            self._ending = True
-            self._changed.notify()
+    async def close(self, within_s: float = CLOSE_TIMEOUT_S) -> bool:
+        """Stop the thread and fail the waiting jobs with LogError.
+
+        Returns False if that takes longer than the limit: the thread then ends with the process.
+        """
+        with self._condition:
+            self._closing = True
+            self._condition.notify()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._ended.wait(), within_s)
-        return self._ended.is_set()
+            await asyncio.wait_for(self._closed.wait(), within_s)
+        return self._closed.is_set()
 
     def _run(self) -> None:
         while True:
-            with self._changed:
-                while not self._jobs and not self._ending:
-                    self._changed.wait()
-                if self._ending:
+            with self._condition:
+                while not self._jobs and not self._closing:
+                    self._condition.wait()
+                if self._closing:
                     break
                 job, done = self._jobs.popleft()
             try:
-                gave, error = job(), None
+                result, error = job(), None
             except Exception as raised:
-                gave, error = None, raised
-            self._tell(done, gave, error)
+                result, error = None, raised
+            self._call_on_loop(done, result, error)
         for _, done in self._jobs:
-            self._tell(done, None, LogError("event log: it is closed"))
+            self._call_on_loop(done, None, LogError("event log: it is closed"))
         try:
-            self._finish()
+            self._close_store()
         except Exception as error:
-            log.error("event log: not closed: %s", error)
-        self._tell(self._ended.set)
+            log.error("event log: cannot close the store: %s", error)
+        self._call_on_loop(self._closed.set)
 
-    def _tell(self, done: Callable[..., None], *given: object) -> None:
+    def _call_on_loop(self, done: Callable[..., None], *arguments: object) -> None:
         assert self._loop is not None
-        with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile
-            self._loop.call_soon_threadsafe(done, *given)
+        with contextlib.suppress(RuntimeError):  # the event loop was closed in the meantime
+            self._loop.call_soon_threadsafe(done, *arguments)
 
 
-class Notes:
-    """What happens in the sender, noted for the log. On the loop; nothing here waits."""
+class EventWriter:
+    """Queues the events of the sender and writes them by the log's thread. All of it runs on the event loop,
+    and nothing blocks.
+    """
 
     def __init__(
         self,
@@ -284,100 +303,102 @@
         write: Callable[[Sequence[Noted]], list[Event]],
         now_us: Callable[[], int],
         backlog: Backlog | None = None,
-        kept: Callable[[list[Event]], None] = lambda events: None,
+        on_written: Callable[[list[Event]], None] = lambda events: None,
     ) -> None:
-        """`write` runs on the log's thread (`Log.write`); `kept` hears on the loop what became of a batch."""
+        """`write` (`Log.write`) runs on the log's thread; `on_written` is called on the event loop with the
+        events of a written batch.
+        """
         self.backlog = backlog if backlog is not None else Backlog(log.warning)
-        self._submit, self._write, self._now_us, self._kept = submit, write, now_us, kept
+        self._submit, self._write, self._now_us, self._on_written = submit, write, now_us, on_written
         self._timer: asyncio.TimerHandle | None = None
-        self._fresh: list[Fresh] = []  # noted by `later` and still to be packed, all at once
-        self._fresh_us = 0  # when the first of them was noted
-        self._gathering: asyncio.TimerHandle | None = None
+        self._unpacked: list[UnpackedEvent] = []  # added by `add_unpacked` and not serialized yet
+        self._unpacked_since_us = 0  # when the first of them was added
+        self._pack_timer: asyncio.TimerHandle | None = None
         self._flushed: asyncio.Future[None] | None = None
 
-    def later(self, what: Fresh) -> None:
-        """Remember that something happened, for as little as can be: it is packed with others."""
-        fresh = self._fresh
-        fresh.append(what)
-        if (count := len(fresh)) == 1:
-            self._fresh_us = self._now_us()
-            self._gathering = asyncio.get_running_loop().call_later(GATHER_US / 1e6, self._gather)
-        elif count == BATCH:
-            self._gather()
-
-    def _gather(self) -> None:
-        """Pack what `later` noted."""
-        if self._gathering is not None:
-            self._gathering.cancel()
-            self._gathering = None
-        note, since_us = self.backlog.note, self._fresh_us
-        for dest, kind, payload, at_us in self._fresh:
-            note(Noted(str(dest), kind, packed(payload), at_us), since_us)
-        self._fresh = []
-        self._plan()
+    def add_unpacked(self, event: UnpackedEvent) -> None:
+        """Add an event at the least cost for the caller: it is serialized later, together with others."""
+        unpacked = self._unpacked
+        unpacked.append(event)
+        if (count := len(unpacked)) == 1:
+            self._unpacked_since_us = self._now_us()
+            self._pack_timer = asyncio.get_running_loop().call_later(BATCH_DELAY_US / 1e6, self._pack)
+        elif count == MAX_BATCH_COUNT:
+            self._pack()
+
+    def _pack(self) -> None:
+        """Serialize the events that `add_unpacked` collected, and queue them."""
+        if self._pack_timer is not None:
+            self._pack_timer.cancel()
+            self._pack_timer = None
+        add, since_us = self.backlog.add, self._unpacked_since_us
+        for dest, kind, payload, at_us in self._unpacked:
+            add(Noted(str(dest), kind, packed(payload), at_us), since_us)
+        self._unpacked = []
+        self._schedule()
 
     def oldest_us(self) -> int | None:
-        """When the first happened that is not kept yet, Unix time; also asked by the log's thread."""
-        fresh = self._fresh  # first: what is packed meanwhile is in the backlog before it goes from here
-        times = [fresh[0][3]] if fresh else []
+        """Return the Unix time of the oldest unwritten event, None without any. Thread-safe."""
+        unpacked = self._unpacked  # read first: events enter the backlog before they leave this list
+        times = [unpacked[0][3]] if unpacked else []
         if (oldest := self.backlog.oldest_us()) is not None:
             times.append(oldest)
         return min(times, default=None)
 
-    def note(self, channel: str, kind: str, data: bytes, at_us: int) -> None:
-        """Remember that something happened: `data` is its payload, packed."""
-        if self.backlog.note(Noted(channel, kind, data, at_us), self._now_us()):
-            self._plan()
+    def add(self, channel: str, kind: str, data: bytes, at_us: int) -> None:
+        """Add an event; `data` is its serialized payload."""
+        if self.backlog.add(Noted(channel, kind, data, at_us), self._now_us()):
+            self._schedule()
 
-    async def close(self, within_s: float = CLOSE_S) -> int:
-        """Hand over what waits, and give it so long. Returns how many events are not kept."""
-        self._gather()
+    async def close(self, within_s: float = CLOSE_TIMEOUT_S) -> int:
+        """Write the waiting events within the time limit. Returns how many events were not written."""
+        self._pack()
         self._flushed = asyncio.get_running_loop().create_future()
-        self._hand_over()
+        self._submit_batch()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._flushed, within_s)
         if self._timer is not None:
             self._timer.cancel()
-        if left := len(self.backlog) + self.backlog.counts().total():
-            log.warning("event log: %d events were not written before the end", left)
-        return left
+        if unwritten := len(self.backlog) + self.backlog.dropped_counts().total():
+            log.warning("event log: %d events were not written before shutdown", unwritten)
+        return unwritten
 
-    def _plan(self) -> None:
+    def _schedule(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if (at := self.backlog.next_at()) is not None:
             delay_s = max(at - self._now_us(), 0) / 1e6
-            self._timer = asyncio.get_running_loop().call_later(delay_s, self._hand_over)
+            self._timer = asyncio.get_running_loop().call_later(delay_s, self._submit_batch)
 
-    def _hand_over(self) -> None:
+    def _submit_batch(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if self.backlog.next_at() is not None:
-            batch = self.backlog.take()
-            if not self._submit(lambda: self._write(batch), self._done):
-                self.backlog.failed("too much waits for it", self._now_us())
-                self._settled()
+            batch = self.backlog.take_batch()
+            if not self._submit(lambda: self._write(batch), self._batch_done):
+                self.backlog.batch_failed("the queue of the log's thread is full", self._now_us())
+                self._continue()
         elif not self.backlog.busy:
-            self._settled()
+            self._continue()
 
-    def _done(self, events: list[Event] | None, error: Exception | None) -> None:
+    def _batch_done(self, events: list[Event] | None, error: Exception | None) -> None:
         now_us = self._now_us()
         if error is None:
-            self.backlog.wrote(now_us)
-            self._kept(events or [])
+            self.backlog.batch_written(now_us)
+            self._on_written(events or [])
         elif isinstance(error, LogError):
-            self.backlog.failed(str(error), now_us)
+            self.backlog.batch_failed(str(error), now_us)
         else:
-            self.backlog.refused(f"{error or type(error).__name__}", now_us)
-        self._settled()
+            self.backlog.batch_rejected(f"{error or type(error).__name__}", now_us)
+        self._continue()
 
-    def _settled(self) -> None:
+    def _continue(self) -> None:
         if self._flushed is None:
-            self._plan()
+            self._schedule()
         elif self.backlog.failing or self.backlog.next_at() is None:
             if not self._flushed.done():
                 self._flushed.set_result(None)
         else:
-            self._hand_over()
+            self._submit_batch()
--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -11,8 +11,8 @@
 import pytest
 
 from rowanrack.channels.ports import Links
-from rowanrack.channels_io.links import BODY_MOST, HttpLinks
-from rowanrack.channels_io.memory_links import Hub
+from rowanrack.channels_io.links import MAX_BODY_BYTES, HttpLinks
+from rowanrack.channels_io.memory_links import MemoryNetwork
 from rowanrack.channels_io.server import SitesServer
 from tests.rig import after, on_loop
 from tests.test_core import Desk
@@ -90,21 +90,21 @@
 
 @asynccontextmanager
 async def in_memory(folder: Path, twin: Twin = sound) -> AsyncIterator[World]:
-    site, hub = Site(), Hub(after)
+    site, network = Site(), MemoryNetwork(after)
 
     def serve(body: bytes) -> tuple[bytes | None, int]:
-        hub.between("a", "b").deaf = body.startswith(b"hang")
+        network.link_state("a", "b").drops_answers = body.startswith(b"hang")
         site.asked.append(body)
         return (None, 1_000_000) if body.startswith(b"busy") else (b"re:" + body, 0)
 
     async def back() -> None:
-        hub.sites["b"] = serve
+        network.sites["b"] = serve
 
     async def die() -> None:
-        del hub.sites["b"]
+        del network.sites["b"]
 
     await back()
-    yield World(twin(hub.links("a")), site, die, back)
+    yield World(twin(network.links("a")), site, die, back)
 
 
 LINKS: list[Any] = [over_http, in_memory]
@@ -113,7 +113,7 @@
 
 async def keeps(world: World) -> None:
     """The contract, in one play of a site that answers, refuses, hangs, dies and comes back."""
-    big = b"x" * (BODY_MOST - 100)
+    big = b"x" * (MAX_BODY_BYTES - 100)
     for body in (b"one", b"", big):
         assert await world.call("b", body) == (b"re:" + body, 0, "")
     assert await world.call("b", b"busy") == (None, 1_000_000, world.ends[-1][2]) and world.ends[-1][2]
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -11,7 +11,15 @@
 from rowanrack.channels.events import LOST, Event
 from rowanrack.channels.log import Log, Noted
 from rowanrack.channels.ports import LogError, LogFullError
-from rowanrack.channels_io.writer import AGAIN_MOST_US, BATCH, CALM_US, GATHER_US, Backlog, LogThread, Notes
+from rowanrack.channels_io.writer import (
+    BATCH_DELAY_US,
+    MAX_BACKOFF_US,
+    MAX_BATCH_COUNT,
+    REPORT_PAUSE_US,
+    Backlog,
+    EventWriter,
+    LogThread,
+)
 from rowanrack.store.log_memory import MemoryLog
 
 FAR = 1 << 62
@@ -29,36 +37,40 @@
 def test_events_gather_until_they_are_many_or_waited_long() -> None:
     log, lines = backlog()
     assert log.next_at() is None
-    assert [log.note(noted(i), 1000 + i) for i in range(3)] == [True, False, False]
-    assert log.next_at() == 1000 + GATHER_US
-    assert [log.note(noted(i), 2000) for i in range(3, BATCH + 5)].count(True) == 1
+    assert [log.add(noted(i), 1000 + i) for i in range(3)] == [True, False, False]
+    assert log.next_at() == 1000 + BATCH_DELAY_US
+    assert [log.add(noted(i), 2000) for i in range(3, MAX_BATCH_COUNT + 5)].count(True) == 1
     assert (log.next_at() or 0) <= 2000
-    assert log.take() == [noted(i) for i in range(BATCH)] and log.next_at() is None
-    log.wrote(3000)
-    assert log.next_at() == 3000 + GATHER_US and len(log) == 5 and lines == []
+    assert log.take_batch() == [noted(i) for i in range(MAX_BATCH_COUNT)] and log.next_at() is None
+    log.batch_written(3000)
+    assert log.next_at() == 3000 + BATCH_DELAY_US and len(log) == 5 and lines == []
 
 
 def test_what_failed_is_written_again_in_order_with_growing_waits() -> None:
     log, lines = backlog()
-    log.note(noted(1), 0)
-    now, waits = GATHER_US, []
+    log.add(noted(1), 0)
+    now, waits = BATCH_DELAY_US, []
     for _ in range(7):
-        assert log.take()[0] == noted(1)
-        log.note(noted(now), now)
-        log.failed("no room left", now)
+        assert log.take_batch()[0] == noted(1)
+        log.add(noted(now), now)
+        log.batch_failed("no room left", now)
         waits.append((log.next_at() or 0) - now)
         now += waits[-1]
-    assert waits == [200_000, 400_000, 800_000, 1_600_000, 3_200_000, AGAIN_MOST_US, AGAIN_MOST_US]
-    assert [n.at_us for n in log.take()] == sorted(n.at_us for n in log._out or ()) and len(log) == 8
+    assert waits == [200_000, 400_000, 800_000, 1_600_000, 3_200_000, MAX_BACKOFF_US, MAX_BACKOFF_US]
+    assert [n.at_us for n in log.take_batch()] == sorted(n.at_us for n in log._in_flight or ()) and len(
+        log
+    ) == 8
     assert lines == ["event log: events are not written: no room left"]
-    log.wrote(now)
-    assert lines[1:] == [f"event log: written again after {(now - GATHER_US) / 1e6:.1f} s, 0 events lost"]
-    log.note(noted(1), now)
-    log.take()
-    log.failed("again", now)
+    log.batch_written(now)
+    assert lines[1:] == [
+        f"event log: written again after {(now - BATCH_DELAY_US) / 1e6:.1f} s, 0 events lost"
+    ]
+    log.add(noted(1), now)
+    log.take_batch()
+    log.batch_failed("again", now)
     assert log.next_at() == now + 200_000 and len(lines) == 2  # a log that comes and goes fills no file
-    log.take()
-    log.failed("again", now + CALM_US)
+    log.take_batch()
+    log.batch_failed("again", now + REPORT_PAUSE_US)
     assert len(lines) == 3
 
 
@@ -66,21 +78,23 @@
 def test_beyond_the_bound_the_oldest_go_and_are_said_first(most: int, most_bytes: int) -> None:
     log, lines = backlog(most, most_bytes)
     for at in range(6):
-        log.note(noted(at, "78"[at % 2]), at)
-    log.take()
+        log.add(noted(at, "78"[at % 2]), at)
+    log.take_batch()
     for at in range(6, 10):  # beside those handed over
-        log.note(noted(at, "8"), at)
-    log.failed("no room left", 10)
-    assert log.counts() == {"7": 3, "8": 3} and len(log) == 4 and len(lines) == 1
-    batch = log.take()
+        log.add(noted(at, "8"), at)
+    log.batch_failed("no room left", 10)
+    assert log.dropped_counts() == {"7": 3, "8": 3} and len(log) == 4 and len(lines) == 1
+    batch = log.take_batch()
     assert [(n.channel, n.kind, n.at_us) for n in batch] == [("7", LOST, 4), ("8", LOST, 5)] + [
         ("8", "taken", at) for at in range(6, 10)
     ]
     assert Event("7", "a", "L", 1, 4, 0, LOST, batch[0].data).payload() == {"count": 3, "from": 0, "to": 4}
-    log.note(noted(11), 11)
-    log.failed("still", 12)  # what was to be said as lost is still said, and what went meanwhile with it
-    assert log.counts() == {"7": 3, "8": 4} and len(log.take()) == 6
-    log.wrote(1_000_000)
+    log.add(noted(11), 11)
+    log.batch_failed(
+        "still", 12
+    )  # what was to be said as lost is still said, and what went meanwhile with it
+    assert log.dropped_counts() == {"7": 3, "8": 4} and len(log.take_batch()) == 6
+    log.batch_written(1_000_000)
     assert lines == ["event log: events are not written: the log is too slow", lines[1]]
     assert lines[1].endswith("7 events lost") and log.next_at() is None
 
@@ -88,16 +102,16 @@
 def test_an_event_that_the_log_refuses_goes_alone() -> None:
     log, _ = backlog()
     for at in range(9):
-        log.note(noted(at), at)
+        log.add(noted(at), at)
     kept: list[Noted] = []
     for now in range(40):
         if log.next_at() is not None:
-            batch = log.take()
+            batch = log.take_batch()
             if any(n.at_us == 5 and n.kind != LOST for n in batch):
-                log.refused("too large", now)
+                log.batch_rejected("too large", now)
             else:
                 kept += batch
-                log.wrote(now)
+                log.batch_written(now)
     assert [n.at_us for n in kept if n.kind != LOST] == [0, 1, 2, 3, 4, 6, 7, 8]
     assert [n.at_us for n in kept if n.kind == LOST] == [5] and log.next_at() is None
 
@@ -135,19 +149,21 @@
         if events[-1].at >= 30_000:
             turns.set()
 
-    thread = LogThread(store.close, most=2)
+    thread = LogThread(store.close, max_jobs=2)
     thread.start()
     opened = asyncio.Event()
     assert thread.submit(site.open, lambda gave, error: opened.set())
     await opened.wait()
-    notes = Notes(thread.submit, write, lambda: 0, Backlog(lines.append, 1000), kept)
-    for at in range(BATCH):
-        notes.later((7, "taken", {"n": at}, at + 1))
+    notes = EventWriter(thread.submit, write, lambda: 0, Backlog(lines.append, 1000), kept)
+    for at in range(MAX_BATCH_COUNT):
+        notes.add_unpacked((7, "taken", {"n": at}, at + 1))
     await asyncio.to_thread(going.wait, 60)
-    for at in range(BATCH, 30_000):  # while a write hangs: this would never end if a note waited for it
-        notes.later((7, "taken", {"n": at}, at + 1))
+    for at in range(
+        MAX_BATCH_COUNT, 30_000
+    ):  # while a write hangs: this would never end if a note waited for it
+        notes.add_unpacked((7, "taken", {"n": at}, at + 1))
     assert [thread.submit(list, lambda gave, error: None) for _ in range(3)] == [True, True, False]
-    assert notes.backlog.counts() == {"7": 30_000 - BATCH - 1000}
+    assert notes.backlog.dropped_counts() == {"7": 30_000 - MAX_BATCH_COUNT - 1000}
     stuck.set()
     await asyncio.wait_for(rooms.wait(), 60)
     full[0] = False
@@ -157,7 +173,7 @@
     assert events[0].payload() == {"count": 29_000, "from": 1, "to": 29_000}
     assert threads == {"event-log"} and len(lines) == 2 and "29000 events lost" in lines[1]
     assert notes.oldest_us() is None
-    notes.later((7, "taken", {}, 40_000))
+    notes.add_unpacked((7, "taken", {}, 40_000))
     assert notes.oldest_us() == 40_000
     assert await notes.close(60) == 0 and len(store.ordered("7", None, FAR, 1 << 20)) == 1002
     assert await thread.close(60) and not store._open
@@ -174,8 +190,8 @@
             stuck.wait(60)
             return []
 
-        notes = Notes(thread.submit, write, lambda: 0)
-        notes.note("7", "taken", b"", 1)
+        notes = EventWriter(thread.submit, write, lambda: 0)
+        notes.add("7", "taken", b"", 1)
         assert await notes.close(0.05) == 1
         thread.submit(list, lambda gave, error: heard.append(error))
         assert not await thread.close(0.05)
