--- a/rowanrack/channels/reads.py
+++ b/rowanrack/channels/reads.py
@@ -21,7 +21,7 @@
 
 from rowanrack.channels.events import FLEET, Event, Gap, Place
 from rowanrack.channels.layout import Keeper, Layouts
-from rowanrack.channels.past import Past
+from rowanrack.channels.past import ChannelState
 from rowanspindle.data_structures import ConcurrencyWindow, RunningMean, TokenBucket
 
 PATH = "/_channels/"
@@ -175,33 +175,33 @@
 def give(log: PartLog, layouts: Layouts, asked: PartAsked) -> PartGiven:
     """A site's answer to a part: its last events, and the state folded over all from `since_us` on."""
     channel, until_us = asked.channel, asked.until_us
-    past = Past(channel, until_us)
+    state = ChannelState(channel, until_us)
     last: deque[Event] = deque(maxlen=asked.limit)
-    walked_until, count = _walk(log, channel, asked, past, last)
+    walked_until, count = _walk(log, channel, asked, state, last)
     settled, held_by = log.settled_until(channel)
     gaps = list(log.gaps(channel))
     seen = channel == FLEET or bool(count or gaps) or bool(log.read(channel, None, TIME_MOST, 1))
     if channel != FLEET:
         fleet = msgspec.structs.replace(asked, since_us=0)
-        fleet_until, _ = _walk(log, FLEET, fleet, past, None)
+        fleet_until, _ = _walk(log, FLEET, fleet, state, None)
         fleet_settled, fleet_held = log.settled_until(FLEET)
         walked_until = min(walked_until, fleet_until)
         # Who wrote on it would have met us: where nothing was, what is known of the fleet will do.
         settled = min(settled, fleet_settled) if seen else fleet_settled
         held_by = sorted({*held_by, *fleet_held})
     return PartGiven(channel, log.site, layouts.whole(log.site, channel), seen, settled, held_by,
-                     count, walked_until, list(last), gaps, past.state())  # fmt: skip
+                     count, walked_until, list(last), gaps, state.as_document())  # fmt: skip
 
 
 def _walk(
-    log: PartLog, channel: str, asked: PartAsked, past: Past, last: deque[Event] | None
+    log: PartLog, channel: str, asked: PartAsked, state: ChannelState, last: deque[Event] | None
 ) -> tuple[int, int]:
     """Show the past a channel's events; up to where that went, and how many they were."""
     since, until_us, before, count = Place(asked.since_us, -1, "", "", 0), asked.until_us, asked.before, 0
     while page := log.read(channel, since, until_us, PAGE):
         within = page if before is None else [event for event in page if event.place < before]
         for event in within:
-            past.saw(event)
+            state.apply(event)
         if last is not None:
             last.extend(within)
         since, count = page[-1].place, count + len(within)
--- a/tests/test_channels_log.py
+++ b/tests/test_channels_log.py
@@ -26,7 +26,7 @@
     packed,
 )
 from rowanrack.channels.log import Log, Noted, Promise
-from rowanrack.channels.past import Past
+from rowanrack.channels.past import ChannelState
 from rowanrack.store.log_memory import MemoryLog
 
 S = 1_000_000
@@ -250,11 +250,11 @@
     life = branched(mine[0], START)
     branch = [msgspec.structs.replace(each, life=life, number=n) for n, each in enumerate(mine, 1)]
     for order in itertools.permutations([stem, *branch]):
-        here, then = Detaches(), Past(FLEET, 9)
+        here, then = Detaches(), ChannelState(FLEET, 9)
         for each in order:
             here.saw(each)
-            then.saw(each)
-        assert here.detached() == {"kept"} == set(then.state()["detached"])
+            then.apply(each)
+        assert here.detached() == {"kept"} == set(then.as_document()["detached"])
         assert here.undoes("kept") == [["b", "x", 3]]
 
 
--- a/tests/test_reads.py
+++ b/tests/test_reads.py
@@ -343,10 +343,10 @@
     told_all = [event(at, kind, data) for at, (kind, data) in enumerate(told, 1)] + [event(99, "taken", {})]
     told_all += [event(at, "detached", of, FLEET) for at, of in enumerate((z, c, {"endpoint": "far"}), 1)]
     told_all += [event(4, "attached", c | {"undoes": [["a", "1", 2]]}, FLEET), event(30, "detached", b)]
-    fold = past.Past("7", 50)
+    fold = past.ChannelState("7", 50)
     for each in told_all:
-        fold.saw(each)
-    state = fold.state()
+        fold.apply(each)
+    state = fold.as_document()
     counts = {"back": 1, "delivered": 1, "draining": 1, "gone": 1, "listed": 3, "lost": 1}
     counts |= {"news": 1, "out": 2, "refused": 1, "taken": 3, "wait": 2}
     assert list(state["counts"]) == sorted(counts) and list(state["endpoints"]) == ["b", "z"]
