--- a/rowanrack/channels_io/part.py
+++ b/rowanrack/channels_io/part.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from rowanrack.channels.events import ATTACHED, DETACHED, FLEET, LAYOUT, Event, packed
-from rowanrack.channels.layout import KEEPERS_MOST, SHARDS_MOST
+from rowanrack.channels.layout import MAX_KEEPER_COUNT, MAX_SHARD_COUNT
 from rowanrack.channels.log import Noted
 from rowanrack.channels.ports import LogError
 from rowanrack.channels.reads import Ask, Done, Read, Router, Settings, parse
@@ -196,13 +196,22 @@
             since = int(doc["from"])
             if since < self._unix_us():
                 raise ValueError("from: lies in the past")
-            shards, copies = int(doc.get("shards", newest.shards)), int(doc.get("keepers", newest.copies))
-            if not (0 < shards <= SHARDS_MOST and 0 < copies <= KEEPERS_MOST):
-                raise ValueError(f"shards: 1 to {SHARDS_MOST}; keepers: 1 to {KEEPERS_MOST}")
+            shards, keeper_count = (
+                int(doc.get("shards", newest.shards)),
+                int(doc.get("keepers", newest.keeper_count)),
+            )
+            if not (0 < shards <= MAX_SHARD_COUNT and 0 < keeper_count <= MAX_KEEPER_COUNT):
+                raise ValueError(f"shards: 1 to {MAX_SHARD_COUNT}; keepers: 1 to {MAX_KEEPER_COUNT}")
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             return Reply(400, JSON_HEADERS, _json_body({"error": f"no layout: {error}"}))
         version = max(layout.version for layout in self.fleet.layouts.history()) + 1
-        payload = {"version": version, "from": since, "shards": shards, "keepers": copies, "sites": sites}
+        payload = {
+            "version": version,
+            "from": since,
+            "shards": shards,
+            "keepers": keeper_count,
+            "sites": sites,
+        }
         noted = Noted(FLEET, LAYOUT, packed(payload), self._unix_us())
         try:
             written = await self._run_on_log_thread(lambda: self.site.write([noted]))
--- a/tests/contracts/test_links.py
+++ b/tests/contracts/test_links.py
@@ -1,4 +1,4 @@
-"""What every `Links` must keep: each call ends once, by its answer or a failure, and is never made twice."""
+"""The contract of `Links`: each call ends once, by an answer or a failure, and is never sent twice."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def sound(links: Links) -> Links:
-    """No twin: the links as they are."""
+    """Return the links unchanged."""
     return links
 
 
 class Site:
-    """The called site: what it was asked, and how it answers by the request's first word."""
+    """The called site: records its requests, and answers by the first word of each."""
 
     def __init__(self) -> None:
         self.asked: list[bytes] = []
@@ -42,7 +42,7 @@
 
 
 class World:
-    """Links to a site `b` that can die and come back, and to `nobody`, whom no address reaches."""
+    """Links to a site `b` that can stop and restart, and to `nobody`, which is unreachable."""
 
     def __init__(self, links: Links, site: Site, die: Callable[[], Awaitable[None]],
                  back: Callable[[], Awaitable[None]]) -> None:  # fmt: skip
@@ -112,14 +112,14 @@
 
 
 async def keeps(world: World) -> None:
-    """The contract, in one play of a site that answers, refuses, hangs, dies and comes back."""
+    """Check the contract with a site that answers, refuses, hangs, stops and restarts."""
     big = b"x" * (MAX_BODY_BYTES - 100)
     for body in (b"one", b"", big):
         assert await world.call("b", body) == (b"re:" + body, 0, "")
     assert await world.call("b", b"busy") == (None, 1_000_000, world.ends[-1][2]) and world.ends[-1][2]
     answer, wait_us, why = await world.call("nobody", b"lost")
     assert answer is None and not wait_us and why and "\n" not in why
-    for give_up in (True, False):  # a site that hangs: given up, then out of time
+    for give_up in (True, False):  # the site hangs: the call is cancelled, then times out
         answer, _, why = await world.call("b", b"hang%d" % give_up, give_up)
         assert answer is None and why
     together = await asyncio.gather(*(world.call("b", b"n%d" % n) for n in range(3)))
@@ -128,19 +128,19 @@
     assert (await world.call("b", b"dead"))[0] is None and b"dead" not in world.site.asked
     await world.back()
     assert (await world.call("b", b"again"))[0] == b"re:again"
-    await asyncio.sleep(TIMEOUT_US / 1e6 + 0.05)  # nothing ends a second time, nor is made again
+    await asyncio.sleep(TIMEOUT_US / 1e6 + 0.05)  # no call ends or is sent a second time
     assert len(world.ends) == 12 and len(world.site.asked) == len(set(world.site.asked)) == 10
 
 
 @each
 @on_loop
-async def test_each_call_ends_once_and_is_made_once(made: Any, tmp_path: Path) -> None:
+async def test_each_call_ends_once_and_is_sent_once(made: Any, tmp_path: Path) -> None:
     async with made(tmp_path) as world:
         await keeps(world)
 
 
 class Twice:
-    """Broken: it makes a call again whose answer does not come."""
+    """Broken: sends a call again if its answer does not come."""
 
     def __init__(self, links: Links) -> None:
         self.links = links
@@ -156,7 +156,7 @@
 
 
 class Silent(Twice):
-    """Broken: a call that fails never ends."""
+    """Broken: a failed call never ends."""
 
     def call(self, site: str, body: bytes, timeout_us: int, done: Any) -> Callable[[], None]:
         def only_answers(answer: bytes | None, wait_us: int, why: str, /) -> None:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Layouts: the same everywhere whatever came first, nothing dropped too soon, damage passed over."""
+"""Layouts: the same on every site for any order of events, nothing dropped too soon, damage ignored."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from rowanrack.channels.events import FLEET, KEPT, LAYOUT, Event, packed
-from rowanrack.channels.layout import NOWHERE, RANKED, Layout, Layouts
+from rowanrack.channels.layout import INITIAL_PLACE, RANKING_SITE_COUNT, Layout, Layouts
 
 NOW = 1_000_000_000
 
@@ -31,7 +31,7 @@
 
 
 def confirmed(layouts: Layouts, site: str) -> list[Event]:
-    """What a site writes once it has fetched all that it is to keep."""
+    """The events that a site writes once it has fetched all that it has to keep."""
     return [event(100 + i, KEPT, m.payload(), site) for i, m in enumerate(layouts.moves(site))]
 
 
@@ -57,29 +57,29 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(TOLD, st.integers(0, 60), st.randoms(use_true_random=False))
-def test_two_sites_agree_whatever_came_first(told: list[Any], gone: int, chance: Random) -> None:
+def test_layouts_do_not_depend_on_the_order_of_events(told: list[Any], gone: int, chance: Random) -> None:
     events = [layout(n, NOW + t[0] * 10, t[2], t[3], t[1], shards=40 + n % 2) for n, t in enumerate(told, 1)]
     first = fed(events, NOW + gone)
     mixed = 2 * (events + confirmed(first, "b") + confirmed(first, "c")[::2]) + [event(1, LAYOUT, b"", "z")]
     agreed = view(once := fed(mixed, NOW + gone))
     chance.shuffle(mixed)
     other = fed([], NOW)
-    for n, each in enumerate(mixed):  # what is remembered between them is not to stay
+    for n, each in enumerate(mixed):  # cached results must not outlive an event
         fed([each], NOW + gone * (n > len(mixed) // 2), more=other)
         held = [other._holders(str(channel))[:2] for channel in range(40)]
     assert view(other) == agreed and len(other.history()) == 1 + len(events)
     assert held == [once._holders(str(channel))[:2] for channel in range(40)]
 
 
-def test_of_two_layouts_of_one_time_the_later_place_holds_and_both_stay() -> None:
+def test_of_two_layouts_with_the_same_start_the_one_with_the_later_place_is_valid() -> None:
     layouts = fed([layout(1, NOW, "cd", "b"), layout(1, NOW, "ab", "a")] * 2)
     assert [name for name, _ in layouts.at(NOW).sites] == ["c", "d"]
     assert layouts.at(NOW - 1).version == 0 and len(layouts.history()) == 3
 
 
-def test_weights_share_the_shards_and_a_new_site_moves_only_its_part() -> None:
+def test_shards_are_shared_by_weight_and_a_new_site_takes_only_its_share() -> None:
     sites = (("a", 1.0), ("b", 1.0), ("c", 2.0))
-    old, new = (Layout(0, NOWHERE, 1, 4096, 1, each) for each in (sites, (*sites, ("d", 1.0))))
+    old, new = (Layout(0, INITIAL_PLACE, 1, 4096, 1, each) for each in (sites, (*sites, ("d", 1.0))))
     counts = Counter(old.keepers(shard)[0] for shard in range(4096))
     assert 0.45 < counts["c"] / 4096 < 0.55 and 0.2 < counts["a"] / 4096 < 0.3
     moved = [new.keepers(s)[0] for s in range(4096) if new.keepers(s) != old.keepers(s)]
@@ -87,20 +87,24 @@
 
 
 def scored(layout: Layout, shard: int) -> tuple[str, ...]:
-    """Weighted rendezvous hashing as it is written down: other versions must find the same keepers."""
+    """Weighted rendezvous hashing as specified: other versions must find the same keepers."""
     scores = list[tuple[float, str]]()
     for site, weight in layout.sites:
         drawn = blake3(f"{shard}/{site}".encode()).digest(length=8)
         scores.append((weight / math.log(((int.from_bytes(drawn) >> 12) + 0.5) / 2**52), site))
-    return tuple(site for _, site in sorted(scores)[: layout.copies])
+    return tuple(site for _, site in sorted(scores)[: layout.keeper_count])
 
 
 @pytest.mark.parametrize("weights", [(1.0,), (1.0, 2.5), (0.01, 1.0, 40.0, 0.5)])
-def test_a_layout_finds_by_rankings_the_keepers_that_sorting_all_would(weights: tuple[float, ...]) -> None:
+def test_rankings_give_the_same_keepers_as_sorting_all_sites(weights: tuple[float, ...]) -> None:
     chance = Random(1)
-    layouts = Layouts([f"s{n}" for n in range(2 * RANKED)])
-    for number, count in enumerate((2 * RANKED, RANKED, 3, 5 * RANKED, 1), 1):
-        sites = [[f"s{n}", chance.choice(weights)] for n in chance.sample(range(5 * RANKED), count)]
+    layouts = Layouts([f"s{n}" for n in range(2 * RANKING_SITE_COUNT)])
+    for number, count in enumerate(
+        (2 * RANKING_SITE_COUNT, RANKING_SITE_COUNT, 3, 5 * RANKING_SITE_COUNT, 1), 1
+    ):
+        sites = [
+            [f"s{n}", chance.choice(weights)] for n in chance.sample(range(5 * RANKING_SITE_COUNT), count)
+        ]
         told: dict[str, Any] = {"sites": sites, "shards": 24, "keepers": chance.randint(1, 16)}
         layouts.saw(layout(number, NOW + number, "a", **told))
     chance.shuffle(all_of := layouts.history() * 2)
@@ -108,8 +112,8 @@
         assert all(each.keepers(shard) == scored(each, shard) for shard in range(24))
 
 
-def test_a_layout_holds_nobody_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It took each of 200 senders 12,600 hashes at once, whoever had to know of it."""
+def test_a_new_layout_needs_few_hashes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a stall: without rankings a new layout cost each of 200 senders 12,600 hashes."""
     hashes = [0]
 
     def counted(data: bytes) -> Any:
@@ -132,10 +136,10 @@
             assert len(moves) == 128 and hashes[0] <= 64  # the new site's
         fed([event(n, KEPT, move.payload(), site) for n, (site, move) in enumerate(moves, 5)], NOW, more=each)
         each.keepers("one", NOW)
-        assert hashes[0] <= 64 + 202  # the loop's side ranks the one shard that is asked for
+        assert hashes[0] <= 64 + 202  # the event loop ranks only the shard that was asked for
 
 
-def test_an_old_keeper_holds_until_each_new_one_has_confirmed() -> None:
+def test_an_old_keeper_may_not_drop_a_channel_until_each_new_keeper_has_confirmed() -> None:
     layouts = fed([layout(1, NOW, "cd")])
     channel = next(str(n) for n in range(99) if {k.site for k in layouts.keepers(str(n), 0)} >= {"a", "b"})
     assert layouts.wants("c", channel, "x") and len(layouts.moves("c")) == 64  # announced
@@ -147,12 +151,12 @@
     assert layouts.may_drop("a", channel) and not layouts.wants("a", channel, "x")
     assert layouts.wants("a", channel, "a") and layouts.wants("a", FLEET, "x")
     assert not layouts.moves("c") and not layouts.moves("d")
-    took = layouts.keepers(channel, NOW - 5)  # as of then a and b kept it; c and d took over
+    took = layouts.keepers(channel, NOW - 5)  # a and b kept it at that time; c and d replaced them
     assert {(k.site, k.whole, tuple(sorted(k.instead_of))) for k in took} == {
         ("c", True, ("a", "b")), ("d", True, ("a", "b"))}  # fmt: skip
 
 
-def test_a_site_that_may_have_dropped_a_shard_is_not_whole_again_by_a_layout_that_comes_late() -> None:
+def test_a_late_layout_does_not_make_a_site_whole_that_may_have_dropped_the_shard() -> None:
     seen = [layout(1, NOW, "bc")]
     layouts = fed(seen, NOW + 5, "abc")
     seen += [*confirmed(layouts, "b"), *confirmed(layouts, "c")]
@@ -164,7 +168,7 @@
         assert len(other.moves("a")) == 64 * (late[0] in told)
 
 
-def test_whole_keepers_are_asked_first_and_a_layout_counts_from_its_time_on() -> None:
+def test_whole_keepers_come_first_and_a_layout_is_valid_only_from_its_start() -> None:
     told = [layout(1, NOW, "c", keepers=1), layout(2, NOW + 9, "ex")]  # e and x are not in the file
     layouts = fed(told, NOW, "abc")
     channel = next(str(n) for n in range(99) if {k.site for k in layouts.keepers(str(n), 0)} >= {"a", "b"})
@@ -177,7 +181,7 @@
     assert not layouts.may_drop("a", channel)
 
 
-def test_a_confirmation_is_of_one_layout_where_two_bear_its_version() -> None:
+def test_a_confirmation_counts_for_one_layout_even_if_two_have_its_version() -> None:
     layouts = fed([layout(1, NOW, "cd", version=7)], NOW)
     other, nameless = layout(1, NOW, "ce", "z", version=7), event(500, KEPT, {"version": 7, "shard": 1}, "c")
     fed([*confirmed(layouts, "c"), other, nameless], NOW, more=layouts)
@@ -195,7 +199,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD)
-def test_a_damaged_layout_is_named_and_passed_over(bad: Any) -> None:
+def test_a_damaged_layout_is_listed_as_refused_and_ignored(bad: Any) -> None:
     if isinstance(bad, dict):
         bad = msgspec.msgpack.encode(msgspec.msgpack.decode(layout(1, NOW, "ab").data) | bad)
     layouts = fed([event(1, LAYOUT, bad)] * 2)
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""The log's writer: it makes no sender wait, loses only what has no room, and says how much."""
+"""The event log's writer: never blocks the sender, drops only what exceeds its bounds, and counts it."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return Backlog(lines.append, most, most_bytes), lines
 
 
-def test_events_gather_until_they_are_many_or_waited_long() -> None:
+def test_a_batch_is_due_once_it_is_full_or_its_first_event_has_waited_long_enough() -> None:
     log, lines = backlog()
     assert log.next_at() is None
     assert [log.add(noted(i), 1000 + i) for i in range(3)] == [True, False, False]
@@ -46,7 +46,7 @@
     assert log.next_at() == 3000 + BATCH_DELAY_US and len(log) == 5 and lines == []
 
 
-def test_what_failed_is_written_again_in_order_with_growing_waits() -> None:
+def test_a_failed_batch_is_retried_in_order_with_growing_back_off() -> None:
     log, lines = backlog()
     log.add(noted(1), 0)
     now, waits = BATCH_DELAY_US, []
@@ -68,19 +68,21 @@
     log.add(noted(1), now)
     log.take_batch()
     log.batch_failed("again", now)
-    assert log.next_at() == now + 200_000 and len(lines) == 2  # a log that comes and goes fills no file
+    assert log.next_at() == now + 200_000 and len(lines) == 2  # repeated failures are not reported each time
     log.take_batch()
     log.batch_failed("again", now + REPORT_PAUSE_US)
     assert len(lines) == 3
 
 
 @pytest.mark.parametrize(("most", "most_bytes"), [(4, 1 << 20), (1000, 4 * 201)])
-def test_beyond_the_bound_the_oldest_go_and_are_said_first(most: int, most_bytes: int) -> None:
+def test_beyond_the_bounds_the_oldest_events_are_dropped_and_reported_first(
+    most: int, most_bytes: int
+) -> None:
     log, lines = backlog(most, most_bytes)
     for at in range(6):
         log.add(noted(at, "78"[at % 2]), at)
     log.take_batch()
-    for at in range(6, 10):  # beside those handed over
+    for at in range(6, 10):  # while a batch is in flight
         log.add(noted(at, "8"), at)
     log.batch_failed("no room left", 10)
     assert log.dropped_counts() == {"7": 3, "8": 3} and len(log) == 4 and len(lines) == 1
@@ -90,16 +92,14 @@
     ]
     assert Event("7", "a", "L", 1, 4, 0, LOST, batch[0].data).payload() == {"count": 3, "from": 0, "to": 4}
     log.add(noted(11), 11)
-    log.batch_failed(
-        "still", 12
-    )  # what was to be said as lost is still said, and what went meanwhile with it
+    log.batch_failed("still", 12)  # the dropped events are still reported, with those dropped in the meantime
     assert log.dropped_counts() == {"7": 3, "8": 4} and len(log.take_batch()) == 6
     log.batch_written(1_000_000)
     assert lines == ["event log: events are not written: the log is too slow", lines[1]]
     assert lines[1].endswith("7 events lost") and log.next_at() is None
 
 
-def test_an_event_that_the_log_refuses_goes_alone() -> None:
+def test_only_the_event_that_the_log_rejects_is_dropped() -> None:
     log, _ = backlog()
     for at in range(9):
         log.add(noted(at), at)
@@ -117,7 +117,7 @@
 
 
 class Clock:
-    """Time that stands at one moment."""
+    """A clock that stands still."""
 
     def unix_us(self) -> int:
         return 1_000_000
@@ -126,7 +126,7 @@
         return 0
 
 
-def test_sending_never_waits_for_a_log_that_hangs_and_then_is_full() -> None:
+def test_adding_events_does_not_block_while_the_log_hangs_and_then_is_full() -> None:
     asyncio.run(hanging())
 
 
@@ -154,16 +154,14 @@
     opened = asyncio.Event()
     assert thread.submit(site.open, lambda gave, error: opened.set())
     await opened.wait()
-    notes = EventWriter(thread.submit, write, lambda: 0, Backlog(lines.append, 1000), kept)
+    writer = EventWriter(thread.submit, write, lambda: 0, Backlog(lines.append, 1000), kept)
     for at in range(MAX_BATCH_COUNT):
-        notes.add_unpacked((7, "taken", {"n": at}, at + 1))
+        writer.add_unpacked((7, "taken", {"n": at}, at + 1))
     await asyncio.to_thread(going.wait, 60)
-    for at in range(
-        MAX_BATCH_COUNT, 30_000
-    ):  # while a write hangs: this would never end if a note waited for it
-        notes.add_unpacked((7, "taken", {"n": at}, at + 1))
+    for at in range(MAX_BATCH_COUNT, 30_000):  # a write hangs: blocks forever if adding waits
+        writer.add_unpacked((7, "taken", {"n": at}, at + 1))
     assert [thread.submit(list, lambda gave, error: None) for _ in range(3)] == [True, True, False]
-    assert notes.backlog.dropped_counts() == {"7": 30_000 - MAX_BATCH_COUNT - 1000}
+    assert writer.backlog.dropped_counts() == {"7": 30_000 - MAX_BATCH_COUNT - 1000}
     stuck.set()
     await asyncio.wait_for(rooms.wait(), 60)
     full[0] = False
@@ -172,15 +170,15 @@
     assert [e.kind for e in events] == [LOST] + ["taken"] * 1000
     assert events[0].payload() == {"count": 29_000, "from": 1, "to": 29_000}
     assert threads == {"event-log"} and len(lines) == 2 and "29000 events lost" in lines[1]
-    assert notes.oldest_us() is None
-    notes.add_unpacked((7, "taken", {}, 40_000))
-    assert notes.oldest_us() == 40_000
-    assert await notes.close(60) == 0 and len(store.ordered("7", None, FAR, 1 << 20)) == 1002
+    assert writer.oldest_us() is None
+    writer.add_unpacked((7, "taken", {}, 40_000))
+    assert writer.oldest_us() == 40_000
+    assert await writer.close(60) == 0 and len(store.ordered("7", None, FAR, 1 << 20)) == 1002
     assert await thread.close(60) and not store._open
     assert not thread.submit(list, lambda gave, error: None)
 
 
-def test_an_end_does_not_wait_for_a_log_that_hangs() -> None:
+def test_closing_does_not_wait_for_a_log_that_hangs() -> None:
     async def ending() -> None:
         stuck, heard = threading.Event(), list[Exception | None]()
         thread = LogThread(lambda: None)
@@ -190,9 +188,9 @@
             stuck.wait(60)
             return []
 
-        notes = EventWriter(thread.submit, write, lambda: 0)
-        notes.add("7", "taken", b"", 1)
-        assert await notes.close(0.05) == 1
+        writer = EventWriter(thread.submit, write, lambda: 0)
+        writer.add("7", "taken", b"", 1)
+        assert await writer.close(0.05) == 1
         thread.submit(list, lambda gave, error: heard.append(error))
         assert not await thread.close(0.05)
         stuck.set()
