--- a/benchmarks/layouts.py
+++ b/benchmarks/layouts.py
@@ -14,7 +14,7 @@
 
 from rowanrack.channels.events import BEGUN, DELIVERED, FLEET, KEPT, LAYOUT, TAKEN, Event, Gap, Place, packed
 from rowanrack.channels.layout import Layouts
-from rowanrack.channels.reads import Ask, Query, Router, Settings, give
+from rowanrack.channels.reads import Query, Request, Router, Settings, give
 
 DAY_US = 86_400_000_000
 START_US = 1_700_000_000_000_000
@@ -52,7 +52,7 @@
     began = time.perf_counter()
     read = router.read(Query("7", at), layouts, 0, at)
     (ask, *_) = read.next(0)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, Request)
     asked, log = time.perf_counter(), Memory(ask.keeper, count)
     made = time.perf_counter()
     body = msgspec.msgpack.encode(give(log, layouts, ask.part))
--- a/rowanrack/channels_io/part.py
+++ b/rowanrack/channels_io/part.py
@@ -19,7 +19,7 @@
 from rowanrack.channels.layout import MAX_KEEPER_COUNT, MAX_SHARD_COUNT
 from rowanrack.channels.log import Noted
 from rowanrack.channels.ports import LogError
-from rowanrack.channels.reads import Ask, Done, Read, Router, Settings, parse
+from rowanrack.channels.reads import Done, Read, Request, Router, Settings, parse
 from rowanrack.channels.site import READ, Fleet, Site
 from rowanrack.channels.sync import Meetings
 from rowanrack.channels_io.links import HttpLinks
@@ -375,7 +375,7 @@
                             )
                             kind = JSON_HEADERS if answer.status == 200 else TEXT_HEADERS
                             return Reply(answer.status, kind | retry_headers, answer.body())
-                        case Ask():
+                        case Request():
                             self._start_task(self._ask_site(step))
                         case _:
                             until_us = step.until_us
@@ -385,23 +385,23 @@
         finally:
             del self._reads[read]
 
-    async def _ask_site(self, ask: Ask) -> None:
+    async def _ask_site(self, request: Request) -> None:
         """Ask a site for a part of the log, and wake the reads that its answer concerns."""
         wait_us, why, answer = 0, "", None
         try:
-            if ask.keeper == self.name:
-                answer = await self._run_on_log_thread(lambda: self.site.give(ask.part))
+            if request.keeper == self.name:
+                answer = await self._run_on_log_thread(lambda: self.site.give(request.part))
             else:
-                body = READ + msgspec.msgpack.encode(ask.part)
-                answer, wait_us, why = await self._call_site(ask.keeper, body, ask.timeout_us)
+                body = READ + msgspec.msgpack.encode(request.part)
+                answer, wait_us, why = await self._call_site(request.keeper, body, request.timeout_us)
         except (LogError, LogOverloadedError) as error:
             why = str(error) or "the log is behind"
         finally:
             now_us = self.exchange.clock.now_us()
             concerned_reads = (
-                self.router.failed(ask, why or "it failed", wait_us, now_us)
+                self.router.failed(request, why or "it failed", wait_us, now_us)
                 if answer is None
-                else self.router.answered(ask, answer, now_us)
+                else self.router.answered(request, answer, now_us)
             )
             for read in concerned_reads:
                 if read in self._reads:
