--- a/tests/test_channels_log.py
+++ b/tests/test_channels_log.py
@@ -26,7 +26,7 @@
     packed,
 )
 from rowanrack.channels.log import Log, Noted, Promise
-from rowanrack.channels.past import Past
+from rowanrack.channels.past import ChannelState
 from rowanrack.store.log_memory import MemoryLog
 
 SECOND_US = 1_000_000
@@ -256,11 +256,11 @@
     life = branched(forked[0], START)
     branch = [msgspec.structs.replace(event, life=life, number=n) for n, event in enumerate(forked, 1)]
     for order in itertools.permutations([original, *branch]):
-        detaches, past = Detaches(), Past(FLEET, 9)
+        detaches, past = Detaches(), ChannelState(FLEET, 9)
         for event in order:
             detaches.saw(event)
-            past.saw(event)
-        assert detaches.detached() == {"kept"} == set(past.state()["detached"])
+            past.apply(event)
+        assert detaches.detached() == {"kept"} == set(past.as_document()["detached"])
         assert detaches.undoes("kept") == [["b", "x", 3]]
 
 
