--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -58,7 +58,7 @@
     server = await asyncio.get_running_loop().create_server(lambda: echo, "127.0.0.1", 0)
     port, _ = await relays.open("a", ["127.0.0.1", server.sockets[0].getsockname()[1]], "far")
     yield relays, port, echo
-    await relays.do("cut", {"names": ["a"], "cut": True})
+    await relays.execute("cut", {"names": ["a"], "cut": True})
     server.close()
 
 
@@ -100,23 +100,23 @@
         assert await reader.readexactly(1) == b"!"
         echo.got.clear()
         for command in before:
-            await relays.do(*command)
+            await relays.execute(*command)
         began = asyncio.get_running_loop().time()
         writer.write(b"hello")
         if then and "faults" in before[0][1]:
-            halves = relays.links["a"].halves  # type: ignore[union-attr]
-            await until(lambda: any(half.spoilt or half.stalled for half in halves))
+            sides = relays.links["a"].sides  # type: ignore[union-attr]
+            await until(lambda: any(side.bytes_lost or side.stalled_chunks for side in sides))
             assert bytes(echo.got) == (b"" if before[0][1]["way"] == "there" else arrives)
         elif then:
-            assert not relays.links["a"].halves  # type: ignore[union-attr]  # closed by the time that it is told
+            assert not relays.links["a"].sides  # type: ignore[union-attr]  # closed before the command returns
             with pytest.raises(OSError):
                 await asyncio.open_connection("127.0.0.1", port)
         for command in then:
-            await relays.do(*command)
+            await relays.execute(*command)
         if comes is None:
             with suppress(ConnectionError):
                 assert await reader.read() in (b"", arrives)
-            await relays.do(*fault(cut_at=0))
+            await relays.execute(*fault(cut_at=0))
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             await until(lambda: bytes(echo.got) == arrives)
             writer.write(b"?")
@@ -126,7 +126,7 @@
         assert asyncio.get_running_loop().time() - began >= least_s
         writer.write_eof()
         async with asyncio.timeout(5):
-            await until(lambda: not relays.links["a"].halves)  # type: ignore[union-attr]
+            await until(lambda: not relays.links["a"].sides)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
@@ -145,7 +145,7 @@
     faults: dict[str, Any], comes: list[bytes], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Two datagrams under the fault, and one once it is lifted."""
-    monkeypatch.setattr("rowanrack.lab.links.OVERTAKEN_S", 0.7)  # a busy machine sends the third by then
+    monkeypatch.setattr("rowanrack.lab.links.REORDER_DELAY_S", 0.7)  # a busy machine sends the third by then
     got, relays, loop = list[bytes](), Relays(), asyncio.get_running_loop()
 
     class Far(asyncio.DatagramProtocol):
@@ -156,15 +156,15 @@
     to = list(far.get_extra_info("sockname"))
     port, seen_from = await relays.open("a", to, kind="udp", hub="h")
     assert (await relays.open("b", to, kind="udp", hub="h"))[0] == port  # one datagram to all of a hub
-    await relays.do("cut", {"names": ["b"], "cut": True})
+    await relays.execute("cut", {"names": ["b"], "cut": True})
     link = relays.links["a"]
     assert isinstance(link, UdpLink)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as near:
-        await relays.do(*fault("there", **faults))
+        await relays.execute(*fault("there", **faults))
         for data in (b"1", b"2"):
             near.sendto(data, ("127.0.0.1", port))
-        await until(lambda: link.counted == 2)
-        await relays.do(*HEAL)
+        await until(lambda: link.received_count == 2)
+        await relays.execute(*HEAL)
         near.sendto(b"end", ("127.0.0.1", port))
         await until(lambda: len(got) == len(comes))
     assert got == comes
