--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -53,7 +53,7 @@
 async def figures(fleet: Fleet, label: str, rate: float, seconds: float) -> dict[str, float]:
     """One stretch of traffic on a fleet."""
     before = np.sum([cpu_s(sender) for sender in fleet.senders.values()], axis=0)
-    await fleet.run(arrivals(fleet, label, rate, seconds))
+    await fleet.submit_planned(arrivals(fleet, label, rate, seconds))
     used = np.sum([cpu_s(sender) for sender in fleet.senders.values()], axis=0) - before
     began, took = dict[str, int](), list[int]()
     for entry in fleet.entries():
@@ -61,7 +61,7 @@
             began[entry.message] = entry.at
         elif entry.what == "answer" and entry.note == "200" and entry.message in began:
             took.append(entry.at - began.pop(entry.message))
-    rss = max(sender.memory()[0] for sender in fleet.senders.values()) / 1e6
+    rss = max(sender.memory_bytes()[0] for sender in fleet.senders.values()) / 1e6
     p50, p99 = np.percentile(took, [50, 99]) / 1000
     loop, others = used / max(1, len(took)) * SECOND_US
     return {
@@ -77,7 +77,7 @@
     rows: dict[str, list[dict[str, float]]] = {"off": [], "on": []}
     with tempfile.TemporaryDirectory() as folder:
         off = Fleet(Path(folder) / "off", senders, shop)
-        on = Fleet(Path(folder) / "on", senders, shop, mesh=("log",), extra=with_log)
+        on = Fleet(Path(folder) / "on", senders, shop, mesh=("log",), extra_config=with_log)
         async with off, on:
             for number in range(rounds):
                 rounds_of = [figures(fleet, f"r{number}-", rate, seconds) for fleet in (off, on)]
@@ -86,7 +86,7 @@
                     rows[name].append(row)
                     click.echo(f"{name:4}" + "".join(f" {k} {v:9.2f}" for k, v in rows[name][-1].items()))
             await asyncio.sleep(5)  # what is noted is written, and met
-            log = SqliteLog(next(iter(on.senders.values())).state / "channels.db", 64_000_000)
+            log = SqliteLog(next(iter(on.senders.values())).state_folder / "channels.db", 64_000_000)
         log.open()
         events = sum(head.number - head.floor for head in log.heads())
         click.echo(f"{events} events kept at one sender, {log.size_bytes() / events:.0f} bytes each on disk")
--- a/rowanrack/lab/__main__.py
+++ b/rowanrack/lab/__main__.py
@@ -81,11 +81,11 @@
         case "hang", False:
             sender.resume()
         case "disk", True:
-            sender.disk_full()
+            sender.fill_disk()
         case "disk", False:
-            sender.disk_room()
+            sender.free_disk()
         case "clock", _:
-            sender.clock(one.by if one.begins else 0.0)
+            sender.set_clock_offset(one.by if one.begins else 0.0)
 
 
 async def play(scenario: Scenario, plan: Plan, folder: Path, seed: int) -> dict[str, Any]:
@@ -94,19 +94,24 @@
     told = settings(scenario.senders, scenario.grade, scenario.slots, scenario.held, scenario.notes)
     clocks = any(fault.what == "clock" for fault in scenario.fault)
     longest_s = max(grade.deadline_ms for grade in scenario.grade) / 1000
-    given: dict[str, Any] = {"told": told, "notes": scenario.notes, "clocks": clocks, "wave": scenario.wave}
+    given: dict[str, Any] = {
+        "settings_toml": told,
+        "notes": scenario.notes,
+        "skewed_clocks": clocks,
+        "wave": scenario.wave,
+    }
     given |= {"disk_mb": scenario.disk_mb, "seed": str(seed)}
     channels = scenario.log
     if channels is not None:
-        given |= {"mesh": (PORT,), "relayed": plan.relayed, "extra": partial(part_of, channels)}
+        given |= {"mesh": (PORT,), "is_relayed": plan.relayed, "extra_config": partial(part_of, channels)}
     began = now_us()
     async with Fleet(folder / "fleet", scenario.senders, list(places.values()), **given) as fleet:
         up_s = (now_us() - began) / 1e6
-        memory = [sender.memory() for sender in fleet.senders.values()]
-        starts = sorted(sender.serving_s for sender in fleet.senders.values())
+        memory = [sender.memory_bytes() for sender in fleet.senders.values()]
+        starts = sorted(sender.start_duration_s for sender in fleet.senders.values())
         cpu = fleet.cpu_s()
         async with asyncio.TaskGroup() as group:
-            group.create_task(fleet.run(plan.arrivals))
+            group.create_task(fleet.submit_planned(plan.arrivals))
             group.create_task(play_moves(fleet, plan.moves))
             if channels is not None:
                 reads = Reads(fleet, channels, list(scenario.channel_names.values()))
--- a/rowanrack/lab/fleet.py
+++ b/rowanrack/lab/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real senders among stand-ins, its links, and what can be done to each. See docs/lab.md."""
+"""Runs a fleet of real senders against stand-in services, and injects faults into both. See docs/lab.md."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 from rowanrack.net.stream import Stream
 from rowanrack.net.timing import after
 
-SERVING_S = 60.0  # for a sender to serve, with many starting at once
-TRIES = 3  # starts that find a port taken
-MGMT_S = 10.0
+START_TIMEOUT_S = 60.0  # long, because many senders start at once
+START_ATTEMPTS_COUNT = 3  # a start fails if another process has taken one of the ports
+MGMT_TIMEOUT_S = 10.0
 HOST = "127.0.0.1"
 
-GRADE = """
+GRADE_TEMPLATE = """
 [[settings.grades]]
 name = "{grade.name}"
 slo_us = {slo_us}
@@ -47,7 +47,7 @@
 effect = "{grade.effect}"
 """
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 [settings]
 kinds = ["lab"]
 weight_kind = "nominal"
@@ -76,19 +76,22 @@
 
 
 def settings(
-    senders: int, grades: Sequence[Grade] = GRADES, slots: int = 16, held: int = 200, notes: bool = False
+    senders: int, grades: Sequence[Grade] = GRADES, slots: int = 16, max_held: int = 200, notes: bool = False
 ) -> str:
-    """The settings that all senders of a fleet have, as TOML."""
+    """Return the settings that all senders of a fleet share, as TOML."""
     text = "".join(
-        GRADE.format(grade=g, slo_us=1000 * g.slo_ms, deadline_us=1000 * g.deadline_ms) for g in grades
+        GRADE_TEMPLATE.format(grade=grade, slo_us=1000 * grade.slo_ms, deadline_us=1000 * grade.deadline_ms)
+        for grade in grades
+    )
+    notes_enabled = "true" if notes else "false"
+    return SETTINGS_TEMPLATE.format(
+        senders=senders, grades=text, slots=slots, held=max_held, notes=notes_enabled
     )
-    on = "true" if notes else "false"
-    return SETTINGS.format(senders=senders, grades=text, slots=slots, held=held, notes=on)
 
 
 @dataclass(frozen=True)
 class Partner:
-    """A destination and its endpoints, named NAME-0 and on."""
+    """A destination and its endpoints, which are named NAME-0, NAME-1 and so on."""
 
     name: str
     figures: Figures
@@ -96,105 +99,107 @@
 
     @property
     def places(self) -> list[str]:
-        """The names of its endpoints."""
+        """The names of the endpoints."""
         return [f"{self.name}-{n}" for n in range(self.endpoints)]
 
 
 class FleetError(RuntimeError):
-    """A sender did not start, or a line of its log did not come; the text names it."""
+    """A sender did not start, an expected log line did not appear, or a fault or link is not available."""
 
 
 @dataclass(frozen=True)
 class Link:
-    """Links from one place to another, or several such; `rowanrack.lab.links` says what the faults do."""
+    """One or more links that fail together; `rowanrack.lab.links` describes the faults."""
 
     fleet: Fleet
     names: tuple[str, ...]
-    who: str  # the sender that a fault of it strikes, in the books
+    affected: str  # the sender or endpoint that the books name for faults of these links
 
     async def cut(self) -> None:
-        """New connections are refused and open ones reset, datagrams are dropped, both ways."""
-        self.fleet.note("fault", self.who, "link")
+        """Refuse new connections, reset open ones and drop datagrams, in both directions."""
+        self.fleet.record_event("fault", self.affected, "link")
         await self.fleet.relays.ask("cut", names=self.names, cut=True)
 
     async def heal(self) -> None:
-        """As at first: no fault."""
+        """Remove all faults."""
         await self.fleet.relays.ask("cut", names=self.names, cut=False)
-        self.fleet.note("over", self.who, "link")
+        self.fleet.record_event("over", self.affected, "link")
 
     async def set(self, way: str = "both", **faults: float | bool) -> None:
-        """Set some faults of `there`, `back` or `both` ways; the others stay."""
-        self.fleet.note("fault", self.who, "link")
+        """Set some faults of the direction `there`, `back` or `both`; other faults stay as they are."""
+        self.fleet.record_event("fault", self.affected, "link")
         await self.fleet.relays.ask("set", names=self.names, way=way, faults=faults)
 
 
 @dataclass(eq=False)
 class Sender:
-    """One sender: a process, its folder and its ports."""
+    """One sender: its process, its folder and its ports."""
 
     fleet: Fleet
     name: str
     number: int
     folder: Path
-    held: dict[str, socket.socket] = field(default_factory=dict)
+    reserved_sockets: dict[str, socket.socket] = field(default_factory=dict)
     udp_ports: dict[str, int] = field(default_factory=dict)
     child: subprocess.Popen[bytes] | None = None
     lines: deque[str] = field(default_factory=lambda: deque(maxlen=5000))
-    serving_s: float = 0.0  # that the last start took
-    _news: asyncio.Condition = field(default_factory=asyncio.Condition)
-    _reading: asyncio.Task[None] | None = None
-    _over: bool = True  # all that its process wrote is read
+    start_duration_s: float = 0.0  # of the last start
+    _log_changed: asyncio.Condition = field(default_factory=asyncio.Condition)
+    _log_reader: asyncio.Task[None] | None = None
+    _log_closed: bool = True  # the whole output of the process has been read
 
     @property
-    def state(self) -> Path:
-        """The folder of its journal."""
+    def state_folder(self) -> Path:
+        """The folder of the journal."""
         return self.folder / "state"
 
-    def port(self, what: str) -> int:
-        """A port of its own for that purpose, reserved at first use and kept while the fleet lasts."""
-        if what not in self.held:
-            self.held[what] = reserve()
-        return int(self.held[what].getsockname()[1])
+    def port(self, purpose: str) -> int:
+        """Return the TCP port for a purpose; it is reserved at first use and kept until the fleet ends."""
+        if purpose not in self.reserved_sockets:
+            self.reserved_sockets[purpose] = reserve()
+        return int(self.reserved_sockets[purpose].getsockname()[1])
 
-    def port_udp(self, what: str) -> int:
-        """The same for datagrams: one that is free now."""
-        if what not in self.udp_ports:
+    def udp_port(self, purpose: str) -> int:
+        """Return the UDP port for a purpose; it was free at first use, but is not reserved."""
+        if purpose not in self.udp_ports:
             with reserve(socket.SOCK_DGRAM) as free:
-                self.udp_ports[what] = int(free.getsockname()[1])
-        return self.udp_ports[what]
+                self.udp_ports[purpose] = int(free.getsockname()[1])
+        return self.udp_ports[purpose]
 
     @property
     def alive(self) -> bool:
-        """Whether its process runs, or hangs."""
+        """Whether the process exists; a hung process does."""
         return self.child is not None and self.child.poll() is None
 
     async def start(self, empty: bool = False) -> None:
-        """Start it, with an empty folder if told so; returns once it serves. Raises FleetError."""
+        """Start the process and wait until it serves; `empty` clears its state first. Raises FleetError."""
         if empty:
-            shutil.rmtree(self.state, ignore_errors=True)
-        self.state.mkdir(parents=True, exist_ok=True)
+            shutil.rmtree(self.state_folder, ignore_errors=True)
+        self.state_folder.mkdir(parents=True, exist_ok=True)
         if empty:
-            self.fleet.note("empty", self.name)
+            self.fleet.record_event("empty", self.name)
         config = self.folder / "site.toml"
-        config.write_text(self.fleet.site(self))
+        config.write_text(self.fleet.site_file(self))
         loop = asyncio.get_running_loop()
         began = loop.time()
-        for _ in range(TRIES):
+        for _ in range(START_ATTEMPTS_COUNT):
             self._launch(config)
-            if await self._serves():
-                self.serving_s = loop.time() - began
+            if await self._wait_until_serving():
+                self.start_duration_s = loop.time() - began
                 await self.fleet.relays.ask("down", far=self.name, down=False)
-                self.fleet.note("up", self.name)
+                self.fleet.record_event("up", self.name)
                 return
-            await self._gone()
-        raise FleetError(f"{self.name}: did not start: {self.lines[-1] if self.lines else 'no word'}")
+            await self._terminate()
+        raise FleetError(
+            f"{self.name}: did not start: {self.lines[-1] if self.lines else 'it logged nothing'}"
+        )
 
     def _launch(self, config: Path) -> None:
         command = [sys.executable, "-m", "rowanrack"]
-        if self.fleet.clocks:
+        if self.fleet.skewed_clocks:
             command = [sys.executable, "-m", "rowanrack.lab.skewed", str(self.clock_file)]
         self.lines.clear()
-        self._over = False
+        self._log_closed = False
         self.child = subprocess.Popen(
             [*command, "serve", "--config", str(config)],
             stdin=subprocess.DEVNULL,
@@ -202,119 +207,121 @@
             cwd=ROOT,
             start_new_session=True,
         )
-        self._reading = asyncio.create_task(self._read(self.child))
+        self._log_reader = asyncio.create_task(self._read_log(self.child))
 
-    async def _read(self, child: subprocess.Popen[bytes]) -> None:
-        """Keep its log, here and in its folder."""
+    async def _read_log(self, child: subprocess.Popen[bytes]) -> None:
+        """Append the log of the process to `lines` and to the file `log` in its folder."""
         reader = asyncio.StreamReader()
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), child.stderr)
         with (self.folder / "log").open("ab") as log:
             while line := await reader.readline():
                 log.write(line)
-                async with self._news:
+                async with self._log_changed:
                     self.lines.append(line.decode(errors="replace").rstrip())
-                    self._news.notify_all()
-        async with self._news:
-            self._over = True
-            self._news.notify_all()
+                    self._log_changed.notify_all()
+        async with self._log_changed:
+            self._log_closed = True
+            self._log_changed.notify_all()
 
-    async def _serves(self) -> bool:
+    async def _wait_until_serving(self) -> bool:
         try:
-            await self.logged("serving;", SERVING_S)
+            await self.wait_for_log_line("serving;", START_TIMEOUT_S)
         except FleetError:
             return False
         return True
 
-    async def logged(self, text: str, within_s: float = 30.0) -> str:
-        """The first line with the text that its process has logged since its start, once there is one."""
+    async def wait_for_log_line(self, text: str, within_s: float = 30.0) -> str:
+        """Wait for the first log line since the start that contains the text. Raises FleetError."""
         found: list[str] = []
 
-        def there() -> bool:
+        def found_or_closed() -> bool:
             found[:] = [line for line in self.lines if text in line]
-            return bool(found) or self._over
+            return bool(found) or self._log_closed
 
-        async with self._news:
+        async with self._log_changed:
             try:
-                await asyncio.wait_for(self._news.wait_for(there), within_s)
+                await asyncio.wait_for(self._log_changed.wait_for(found_or_closed), within_s)
             except TimeoutError:
-                raise FleetError(f"{self.name}: logged no {text!r} in {within_s:.0f} s") from None
+                raise FleetError(f"{self.name}: did not log {text!r} within {within_s:.0f} s") from None
         if not found:
             raise FleetError(f"{self.name}: ended without logging {text!r}")
         return found[0]
 
-    async def _gone(self) -> None:
-        """End it if it still runs, and wait until all that it wrote is read."""
+    async def _terminate(self) -> None:
+        """Kill the process if it still runs, and wait until its whole output has been read."""
         if self.child is not None:
             self.child.kill()
             self.child.wait()
-            assert self._reading is not None
-            await self._reading
+            assert self._log_reader is not None
+            await self._log_reader
 
     async def kill(self) -> None:
-        """SIGKILL; returns once it is gone and connections to it are refused."""
-        self.fleet.note("down", self.name, "kill")
-        await self._gone()
+        """Send SIGKILL, and wait until the process has ended and connections to it are refused."""
+        self.fleet.record_event("down", self.name, "kill")
+        await self._terminate()
         await self.fleet.relays.ask("down", far=self.name, down=True)
 
     def hang(self) -> None:
-        """SIGSTOP: the machine hangs, its connections stay."""
-        self.fleet.note("down", self.name, "hang")
+        """Send SIGSTOP, which simulates a hung machine: its connections stay open."""
+        self.fleet.record_event("down", self.name, "hang")
         os.kill(self.pid, signal.SIGSTOP)
         os.waitid(os.P_PID, self.pid, os.WSTOPPED)
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """Send SIGCONT to a process that `hang` has stopped."""
         os.kill(self.pid, signal.SIGCONT)
-        self.fleet.note("up", self.name, "hang")
+        self.fleet.record_event("up", self.name, "hang")
 
-    def disk_full(self) -> None:
-        """From now on no file of it grows: a write past the end of its journal, or of its log, fails."""
-        self.fleet.note("fault", self.name, "disk")
-        sizes = (f.stat().st_size for f in self.state.iterdir() if f.suffix in (".log", ".db"))
-        self._file_limit(min((size for size in sizes if size), default=0))
+    def fill_disk(self) -> None:
+        """Simulate a full disk: writes past the current end of the journal or of the event log fail."""
+        self.fleet.record_event("fault", self.name, "disk")
+        sizes = (
+            path.stat().st_size for path in self.state_folder.iterdir() if path.suffix in (".log", ".db")
+        )
+        self._limit_file_size(min((size for size in sizes if size), default=0))
 
-    def disk_room(self) -> None:
-        """There is room again."""
-        self._file_limit(None)
-        self.fleet.note("over", self.name, "disk")
+    def free_disk(self) -> None:
+        """End the simulation of a full disk."""
+        self._limit_file_size(None)
+        self.fleet.record_event("over", self.name, "disk")
 
-    def _file_limit(self, most: int | None) -> None:
+    def _limit_file_size(self, max_bytes: int | None) -> None:
         _, hard = resource.prlimit(self.pid, resource.RLIMIT_FSIZE)
-        resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (hard if most is None else most, hard))
+        resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (hard if max_bytes is None else max_bytes, hard))
 
     @property
     def clock_file(self) -> Path:
-        """Where its clock's offset stands."""
+        """The file that holds the offset of the sender's clock."""
         return self.folder / "clock"
 
-    def clock(self, ahead_s: float) -> None:
-        """Its clock of the day is so far ahead from now on, or behind. Raises FleetError without `clocks`."""
-        if not self.fleet.clocks:
-            raise FleetError("the fleet was started without `clocks`")
-        self.fleet.note("fault" if ahead_s else "over", self.name, "clock")
+    def set_clock_offset(self, ahead_s: float) -> None:
+        """Set the offset of the wall clock; negative is behind. Raises FleetError without `skewed_clocks`."""
+        if not self.fleet.skewed_clocks:
+            raise FleetError("the fleet was started without `skewed_clocks`")
+        self.fleet.record_event("fault" if ahead_s else "over", self.name, "clock")
         skewed.write(self.clock_file, int(ahead_s * 1_000_000))
 
     @property
     def pid(self) -> int:
-        """Of its process."""
+        """The process id."""
         assert self.child is not None
         return self.child.pid
 
-    def memory(self) -> tuple[int, int]:
-        """RSS and PSS in bytes."""
+    def memory_bytes(self) -> tuple[int, int]:
+        """Return the RSS and PSS of the process in bytes."""
         lines = Path(f"/proc/{self.pid}/smaps_rollup").read_text().splitlines()
-        found = {line.split()[0]: 1024 * int(line.split()[1]) for line in lines[1:]}
-        return found["Rss:"], found["Pss:"]
+        sizes = {line.split()[0]: 1024 * int(line.split()[1]) for line in lines[1:]}
+        return sizes["Rss:"], sizes["Pss:"]
 
     def cpu_s(self) -> float:
-        """Processor time that its process has used."""
+        """Return the CPU time that the process has used, in seconds."""
         user, system = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()[11:13]
         return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
 
     async def mgmt(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
-        """An operator's call; its status and body. Raises OSError, TimeoutError and net.http's errors."""
-        async with asyncio.timeout(MGMT_S):
+        """Make an operator's call; returns status and body. Raises OSError, TimeoutError and HTTP errors."""
+        async with asyncio.timeout(MGMT_TIMEOUT_S):
             stream = await Stream.connect(HOST, self.port("mgmt"))
             try:
                 reply = await HttpCaller(stream, "mgmt", 1 << 20, after).call(Call(method, path, (), body))
@@ -324,12 +331,13 @@
 
 
 class Fleet(AsyncExitStack):
-    """Senders s0 and on, the stand-ins, and all links between them; ends what it started, whatever happens.
+    """The senders s0, s1 and so on, the stand-ins and all links; on exit it ends every process it started.
 
-    `extra(fleet, sender)` is text for the end of a sender's TOML file. `mesh` names ports of the senders' own
-    for which there is a TCP link for each ordered pair that is `relayed(near, far)`: others meet without one,
-    and no fault can lie between them. `notes` gives them UDP links for notes, and [peers].
-    `told` takes the place of the settings that `settings(senders)` gives.
+    `extra_config(fleet, sender)` returns text to append to a sender's TOML file. `mesh` names ports of the
+    senders; each has a TCP link per ordered pair of senders for which `is_relayed(near, far)` holds. Other
+    pairs connect directly, and no fault can be injected between them. `notes` adds UDP links for gossip
+    notes and the section [peers]. `settings_toml` replaces the result of `settings(senders)`. `wave` limits
+    how many senders start at once.
     """
 
     def __init__(
@@ -338,105 +346,122 @@
         senders: int = 8,
         partners: Sequence[Partner] = (),
         *,
-        told: str = "",
-        extra: Callable[[Fleet, Sender], str] = lambda fleet, sender: "",
+        settings_toml: str = "",
+        extra_config: Callable[[Fleet, Sender], str] = lambda fleet, sender: "",
         mesh: Sequence[str] = (),
-        relayed: Callable[[str, str], bool] = lambda near, far: True,
+        is_relayed: Callable[[str, str], bool] = lambda near, far: True,
         notes: bool = False,
-        clocks: bool = False,
+        skewed_clocks: bool = False,
         wave: int = 4,
         disk_mb: float = 4.0,
         seed: str = "1",
     ) -> None:
         super().__init__()
         self.folder, self.partners = folder.resolve(), tuple(partners)
-        self.settings, self.extra = told or settings(senders, notes=notes), extra
-        self.relayed = relayed
-        self.mesh, self.notes, self.clocks, self.wave = tuple(mesh), notes, clocks, wave
+        self.settings, self.extra_config = settings_toml or settings(senders, notes=notes), extra_config
+        self.is_relayed = is_relayed
+        self.mesh, self.notes, self.skewed_clocks, self.wave = tuple(mesh), notes, skewed_clocks, wave
         self.disk_mb, self.seed = disk_mb, seed
         self.books = self.folder / "books"
         self.senders: dict[str, Sender] = {}
         for number in range(senders):
             name = f"s{number}"
             self.senders[name] = Sender(self, name, number, self.folder / name)
-        self._ports: dict[str, tuple[int, int]] = {}  # of links: the near port, and where UDP is seen from
+        self._ports: dict[str, tuple[int, int]] = {}  # by link: the near port and the UDP source port
         self.discovery_port = 0
 
     async def __aenter__(self) -> Fleet:
         await super().__aenter__()
         try:
-            await self._begin()
+            await self._start()
         except BaseException:
             await self.aclose()
             raise
         return self
 
-    async def _begin(self) -> None:
+    async def _start(self) -> None:
         self.books.mkdir(parents=True)
         self.book = Book(self.books / "lab.jsonl")
         self.callback(self.book.close)
-        self.book.add("clock", value=time.time_ns() // 1000)  # what the books' is then
-        self.relays = await self._role("links", self.seed)
-        self.town = await self._role("partners", str(self.books / "partners.jsonl"), self.seed)
-        self.discovery = await self._role("discovery", str(self.books / "discovery.jsonl"))
-        self.clients = await self._role("clients", str(self.books / "clients.jsonl"))
+        self.book.add("clock", value=time.time_ns() // 1000)  # maps the clock of the books to Unix time
+        self.relays = await self._start_role("links", self.seed)
+        self.partner_process = await self._start_role(
+            "partners", str(self.books / "partners.jsonl"), self.seed
+        )
+        self.discovery = await self._start_role("discovery", str(self.books / "discovery.jsonl"))
+        self.clients = await self._start_role("clients", str(self.books / "clients.jsonl"))
         self.discovery_port = await self.discovery.ask("open")
-        told = [{"figures": msgspec.to_builtins(p.figures), "endpoints": p.places} for p in self.partners]
+        partner_specs = [
+            {"figures": msgspec.to_builtins(p.figures), "endpoints": p.places} for p in self.partners
+        ]
         names = list(self.senders)
-        self.endpoints: dict[str, int] = await self.town.ask("open", partners=told, senders=names)
+        self.endpoints: dict[str, int] = await self.partner_process.ask(
+            "open", partners=partner_specs, senders=names
+        )
         self.push_async_callback(self._end_senders)
         for sender in self.senders.values():
             sender.folder.mkdir()
             skewed.write(sender.clock_file, 0)
         await self._open_links()
-        await self._list()
-        reach = {name: [HOST, self._ports[f"clients>{name}"][0]] for name in self.senders}
-        await self.clients.ask("open", senders=reach)
+        await self._publish_endpoint_lists()
+        client_addresses = {name: [HOST, self._ports[f"clients>{name}"][0]] for name in self.senders}
+        await self.clients.ask("open", senders=client_addresses)
         await self._start_senders()
 
-    async def _role(self, name: str, *given: str) -> Role:
+    async def _start_role(self, name: str, *arguments: str) -> Role:
         role = Role(name)
-        await role.start(*given)
+        await role.start(*arguments)
         self.push_async_callback(role.end)
         return role
 
     async def _open_links(self) -> None:
-        """Those that are known from the start: all."""
-        wanted: list[dict[str, Any]] = []
+        """Open the links of all senders; their names and ports are known before any sender starts."""
+        link_specs: list[dict[str, Any]] = []
         for name, sender in self.senders.items():
             source = sender_address(sender.number)
             ends = {"discovery": self.discovery_port, **self.endpoints}
-            wanted.append({"name": f"clients>{name}", "to": [HOST, sender.port("clients")], "far": name})
-            for end, port in ends.items():
-                wanted.append({"name": f"{name}>{end}", "to": [HOST, port], "far": end, "source": source})
+            link_specs.append({"name": f"clients>{name}", "to": [HOST, sender.port("clients")], "far": name})
+            for end_name, port in ends.items():
+                link_specs.append(
+                    {"name": f"{name}>{end_name}", "to": [HOST, port], "far": end_name, "source": source}
+                )
             for other in self.senders.values():
                 pair = {"name": f"{name}>{other.name}", "far": other.name}
-                between = other is not sender and self.relayed(name, other.name)
-                for what in self.mesh if between else ():
-                    named = pair | {"name": f"{pair['name']} {what}", "source": source}
-                    wanted.append(named | {"to": [HOST, other.port(what)]})
+                linked = other is not sender and self.is_relayed(name, other.name)
+                for purpose in self.mesh if linked else ():
+                    spec = pair | {"name": f"{pair['name']} {purpose}", "source": source}
+                    link_specs.append(spec | {"to": [HOST, other.port(purpose)]})
                 if self.notes and other is not sender:
-                    named = pair | {"name": f"{pair['name']} notes", "kind": "udp", "hub": name}
-                    wanted.append(named | {"to": [HOST, other.port_udp("notes")]})
-        opened = await self.relays.ask("open", links=wanted)
-        self._ports = {one["name"]: tuple(ports) for one, ports in zip(wanted, opened, strict=True)}
+                    spec = pair | {"name": f"{pair['name']} notes", "kind": "udp", "hub": name}
+                    link_specs.append(spec | {"to": [HOST, other.udp_port("notes")]})
+        opened = await self.relays.ask("open", links=link_specs)
+        self._ports = {spec["name"]: tuple(ports) for spec, ports in zip(link_specs, opened, strict=True)}
 
-    async def _list(self) -> None:
+    async def _publish_endpoint_lists(self) -> None:
         hosts = [
-            {"host": place, "site": "a", "class": "lab", "block": partner.figures.dest, "health": "SERVING"}
+            {
+                "host": endpoint,
+                "site": "a",
+                "class": "lab",
+                "block": partner.figures.dest,
+                "health": "SERVING",
+            }
             | {"share": partner.figures.rate / partner.endpoints * partner.figures.listed, "born_ms": 0}
             for partner in self.partners
-            for place in partner.places
+            for endpoint in partner.places
         ]
-        dials = {name: {p: self.address(name, p) for p in self.endpoints} for name in self.senders}
+        dials = {
+            name: {endpoint: self.address(name, endpoint) for endpoint in self.endpoints}
+            for name in self.senders
+        }
         await self.discovery.ask("lists", hosts=hosts, dials=dials)
 
     async def _start_senders(self) -> None:
-        """In waves: each start takes most of a core."""
-        gate = asyncio.Semaphore(self.wave)
+        """Start the senders, `wave` at a time, because each start uses most of a core."""
+        start_slots = asyncio.Semaphore(self.wave)
 
         async def start(sender: Sender) -> None:
-            async with gate:
+            async with start_slots:
                 await sender.start()
 
         async with asyncio.TaskGroup() as group:
@@ -448,39 +473,39 @@
             if sender.child is not None:
                 sender.child.kill()
         for sender in self.senders.values():
-            await sender._gone()
-            for held in sender.held.values():
-                held.close()
-
-    def address(self, near: str, far: str, what: str = "") -> str:
-        """The address that one side must use for the other, so that it goes over their link, if any."""
-        link = f"{near}>{far} {what}".rstrip()
-        if link not in self._ports and what in self.mesh:
-            return f"{HOST}:{self.senders[far].port(what)}"
+            await sender._terminate()
+            for reserved_socket in sender.reserved_sockets.values():
+                reserved_socket.close()
+
+    def address(self, near: str, far: str, purpose: str = "") -> str:
+        """Return the address at which `near` reaches `far`: that of their link, if there is one."""
+        link = f"{near}>{far} {purpose}".rstrip()
+        if link not in self._ports and purpose in self.mesh:
+            return f"{HOST}:{self.senders[far].port(purpose)}"
         return f"{HOST}:{self._ports[link][0]}"
 
     def link(self, near: str, far: str) -> Link:
-        """All links of an ordered pair of senders; far may be an endpoint or `discovery`, near `clients`."""
-        named = f"{near}>{far}"
-        names = tuple(name for name in self._ports if name.split(" ")[0] == named)
+        """All links of an ordered pair; `far` may be an endpoint or `discovery`, `near` may be `clients`."""
+        pair = f"{near}>{far}"
+        names = tuple(name for name in self._ports if name.split(" ")[0] == pair)
         if not names:
-            raise FleetError(f"no link {named}")
+            raise FleetError(f"no link {pair}")
         return Link(self, names, near if near in self.senders else far)
 
     def links_of(self, name: str) -> Link:
-        """All links of a sender: its machine on the network."""
+        """All links to and from a sender."""
         names = tuple(link for link in self._ports if name in link.split(" ")[0].split(">"))
         return Link(self, names, name)
 
-    def links_to(self, place: str) -> Link:
+    def links_to(self, endpoint: str) -> Link:
         """All links to an endpoint."""
-        return Link(self, tuple(link for link in self._ports if link.endswith(f">{place}")), place)
+        return Link(self, tuple(link for link in self._ports if link.endswith(f">{endpoint}")), endpoint)
 
-    def site(self, sender: Sender) -> str:
-        """A sender's TOML file."""
-        text = [
+    def site_file(self, sender: Sender) -> str:
+        """Return the text of a sender's TOML file."""
+        lines = [
             f'name = "{sender.name}"',
-            f"state = {json.dumps(str(sender.state))}",
+            f"state = {json.dumps(str(sender.state_folder))}",
             f"disk_mb = {self.disk_mb}",
             "sockets = 1024",
             f'mgmt = "{HOST}:{sender.port("mgmt")}"',
@@ -492,50 +517,50 @@
         if self.notes:
             others = [name for name in self.senders if name != sender.name]
             peers = [f"{HOST}:{self._ports[f'{other}>{sender.name} notes'][1]}" for other in others]
-            all_at = self.address(sender.name, others[0], "notes")
-            listen = f"{HOST}:{sender.port_udp('notes')}"
-            text += ["[peers]", f'listen = "{listen}"', f'all_at = "{all_at}"']
-            text.append(f"peers = {json.dumps(peers)}")
-        return "\n".join([*text, self.extra(self, sender), ""])
+            broadcast_address = self.address(sender.name, others[0], "notes")
+            listen = f"{HOST}:{sender.udp_port('notes')}"
+            lines += ["[peers]", f'listen = "{listen}"', f'all_at = "{broadcast_address}"']
+            lines.append(f"peers = {json.dumps(peers)}")
+        return "\n".join([*lines, self.extra_config(self, sender), ""])
 
     def cpu_s(self) -> float:
-        """Processor time that the senders' processes of now have used."""
+        """Return the CPU time that the running processes of the senders have used, in seconds."""
         return sum(sender.cpu_s() for sender in self.senders.values() if sender.alive)
 
-    def note(self, what: str, who: str, note: str = "") -> None:
-        """An entry in the lab's own book."""
+    def record_event(self, what: str, who: str, note: str = "") -> None:
+        """Add an entry to the lab's own book."""
         self.book.add(what, who, note=note)
 
-    # Partners and clients.
-
     async def endpoint(self, name: str, state: str) -> None:
-        """Turn an endpoint `up`, `down`, `shut`, `failing` or `silent`; its links refuse while it is down."""
+        """Set an endpoint `up`, `down`, `shut`, `failing` or `silent`; while it is down, its links refuse."""
         if state != "down":
             await self.relays.ask("down", far=name, down=False)
-        await self.town.ask("state", name=name, state=state)
+        await self.partner_process.ask("state", name=name, state=state)
         if state == "down":
             await self.relays.ask("down", far=name, down=True)
 
     async def drain(self, name: str, health: str = "DRAINING") -> None:
-        """Tell every sender that an endpoint drains, or is `SERVING` again, or `DELETED`."""
+        """Publish a health state of an endpoint to every sender: `DRAINING`, `SERVING` or `DELETED`."""
         await self.discovery.ask("health", host=name, health=health)
 
     async def submit(self, name: str, message: str, cls: str, dest: int, left_ms: int = 8000) -> str:
-        """Hand one message to a sender; its answer, or `lost` without one, `refused` without a connection."""
+        """Submit a message; returns the answer, `lost` without one, or `refused` without a connection."""
         arrival = Arrival(0, message, cls, dest, left_ms, (name,))
-        told: str = await self.clients.ask("submit", arrival=msgspec.to_builtins(arrival))
-        return told
+        answer: str = await self.clients.ask("submit", arrival=msgspec.to_builtins(arrival))
+        return answer
 
-    async def run(self, arrivals: Iterable[Arrival]) -> None:
-        """Hand messages in as planned, from now on (`plan.Arrival`); returns once each is settled there."""
-        await self.clients.ask("run", arrivals=[msgspec.to_builtins(one) for one in arrivals])
+    async def submit_planned(self, arrivals: Iterable[Arrival]) -> None:
+        """Submit messages at their planned times, counted from now; returns once each is settled."""
+        await self.clients.ask("run", arrivals=[msgspec.to_builtins(arrival) for arrival in arrivals])
 
     def entries(self) -> list[Entry]:
-        """All books so far."""
+        """Return the entries of all books so far, in the order of time."""
         return read(self.books)
 
-    async def until(self, done: Callable[[list[Entry]], bool], within_s: float = 30.0) -> list[Entry]:
-        """Wait until the books say so; returns them. Raises TimeoutError."""
+    async def wait_for_entries(
+        self, done: Callable[[list[Entry]], bool], within_s: float = 30.0
+    ) -> list[Entry]:
+        """Wait until `done` holds for the entries of the books, and return them. Raises TimeoutError."""
         async with asyncio.timeout(within_s):
             while not done(entries := self.entries()):
                 await asyncio.sleep(0.1)
--- a/tests/test_channels_fleet.py
+++ b/tests/test_channels_fleet.py
@@ -37,7 +37,7 @@
 
 
 def fleet_of(folder: Path) -> Fleet:
-    return Fleet(folder / "fleet", COUNT, [SHOP], mesh=("log",), extra=channels)
+    return Fleet(folder / "fleet", COUNT, [SHOP], mesh=("log",), extra_config=channels)
 
 
 async def past(sender: Sender, channel: str, at: int, **more: int) -> tuple[int, dict[str, Any]]:
@@ -87,7 +87,7 @@
 
 def kept(fleet: Fleet, name: str, channel: str, until: int = 1 << 62) -> list[Event]:
     """A channel up to a time as a sender that has ended left it, in its order."""
-    store = SqliteLog(fleet.senders[name].state / "channels.db", 4_000_000)
+    store = SqliteLog(fleet.senders[name].state_folder / "channels.db", 4_000_000)
     store.open()
     try:
         return store.ordered(channel, None, until, 1 << 30)
@@ -208,7 +208,7 @@
     async with fleet_of(tmp_path) as fleet:
         sender = fleet.senders[OTHERS[0]]
         ids = await handed_in(fleet, [sender.name], "before", 10)
-        sender.disk_full()
+        sender.fill_disk()
         taken = set[str]()
         for n in range(400):
             message = f"full-{n}"
@@ -216,13 +216,13 @@
                 taken.add(message)
             else:
                 break
-        await sender.logged(LINES[0])
+        await sender.wait_for_log_line(LINES[0])
         ended = ids | taken
-        await fleet.until(lambda book: {e.message for e in book if e.what == "answer"} >= ended)
-        sender.disk_room()
-        await sender.logged(LINES[1])
+        await fleet.wait_for_entries(lambda book: {e.message for e in book if e.what == "answer"} >= ended)
+        sender.free_disk()
+        await sender.wait_for_log_line(LINES[1])
         ended |= ids | await handed_in(fleet, [sender.name], "after", 3)
-        await fleet.until(lambda book: {e.message for e in book if e.what == "answer"} >= ended)
+        await fleet.wait_for_entries(lambda book: {e.message for e in book if e.what == "answer"} >= ended)
         while b"svc_outstanding 0" not in (await sender.mgmt("GET", "/_vars"))[1]:
             pass  # the last answers are on their way
         found = await read_until(sender, "1", lambda f: f["complete"])
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -69,14 +69,14 @@
     Each sender has seen the outage, and has had half a second to keep that.
     """
     shop = Partner("shop", SHOP, endpoints=1)
-    async with Fleet(folder, SENDERS, [shop], told=told(), wave=8) as fleet:
+    async with Fleet(folder, SENDERS, [shop], settings_toml=told(), wave=8) as fleet:
         await fleet.endpoint("shop-0", "failing")
         for name in fleet.senders:
             assert (await fleet.submit(name, f"message-{name}", PATIENT.name, 1, 60_000)).startswith("+")
         for sender in fleet.senders.values():
-            await sender.logged("shop-0: out")
+            await sender.wait_for_log_line("shop-0: out")
         kept_us = now_us() + SECOND_US // 2
-        await fleet.until(lambda entries: now_us() > kept_us)
+        await fleet.wait_for_entries(lambda entries: now_us() > kept_us)
         for sender in fleet.senders.values():
             await sender.kill()
         killed_us = now_us()
@@ -88,10 +88,10 @@
 async def test_senders_that_restart_in_an_outage_do_not_push_over_what_returns(tmp_path: Path) -> None:
     async with restarted_in_an_outage(tmp_path / "fleet") as (fleet, _):
         known_us = now_us() + FIRST_CALLS_US
-        await fleet.until(lambda entries: bool(callers(entries, known_us)))  # a trial
+        await fleet.wait_for_entries(lambda entries: bool(callers(entries, known_us)))  # a trial
         await fleet.endpoint("shop-0", "up")
         back_us = now_us()
-        entries = await fleet.until(lambda entries: now_us() > back_us + FALL_US)
+        entries = await fleet.wait_for_entries(lambda entries: now_us() > back_us + FALL_US)
     breaches = Checker(entries, frozenset(), FALL_US).check()
     assert [b.text for b in breaches if b.rule == "cold"] == []
 
@@ -103,7 +103,7 @@
     """
     async with restarted_in_an_outage(tmp_path / "fleet") as (fleet, killed_us):
         started_us = now_us()
-        entries = await fleet.until(lambda entries: now_us() > started_us + FALL_US)
+        entries = await fleet.wait_for_entries(lambda entries: now_us() > started_us + FALL_US)
     bears = SHOP.bears(1)
     assert densest(entries, killed_us) <= bears + 3 * math.sqrt(bears) + 3
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -356,21 +356,21 @@
 
 @on_loop
 async def test_a_fleet_starts_is_hurt_and_serves_again(tmp_path: Path) -> None:
-    async with Fleet(tmp_path / "f", 2, [SHOP], notes=True, mesh=("channel",), clocks=True) as fleet:
+    async with Fleet(tmp_path / "f", 2, [SHOP], notes=True, mesh=("channel",), skewed_clocks=True) as fleet:
         one = fleet.senders["s0"]
         assert await one.mgmt("GET", "/_ready") == (200, b"ready\n")
         told = operator_config(one.folder / "site.toml").platform
         assert told is not None and told.peers is not None
         assert f"127.0.0.1:{told.peers.all_at[1]}" == fleet.address("s0", "s1", "notes")
         assert await fleet.submit("s0", "m1", "print-order", 1) == "+OK"
-        await fleet.until(lambda book: any(e.what == "answer" and e.message == "m1" for e in book))
+        await fleet.wait_for_entries(lambda book: any(e.what == "answer" and e.message == "m1" for e in book))
         await one.kill()
         assert await fleet.submit("s0", "m2", "print-order", 1) == "refused"
-        (one.state / "mark").touch()
+        (one.state_folder / "mark").touch()
         await one.start(empty=True)
-        assert not (one.state / "mark").exists()
-        assert "; 0 messages owed" in await one.logged("serving")
-        one.disk_full()
+        assert not (one.state_folder / "mark").exists()
+        assert "; 0 messages owed" in await one.wait_for_log_line("serving")
+        one.fill_disk()
         number, ready = 3, 200
         while ready == 200 and number < 300:  # the journal has some room that the disk gave before
             number += 1
@@ -378,7 +378,7 @@
             ready, _ = await one.mgmt("GET", "/_ready")
         assert ready == 503
         assert (await fleet.submit("s0", "m300", "print-order", 1)).startswith("-BUSY")
-        one.disk_room()
+        one.free_disk()
         while (await one.mgmt("GET", "/_ready"))[0] != 200:  # it looks again by itself
             pass
         while (await fleet.submit("s0", "m300", "print-order", 1)) != "+OK":  # BUSY while the core is full
