--- a/rowanrack/lab/figures.py
+++ b/rowanrack/lab/figures.py
@@ -12,7 +12,7 @@
 
 from rowanrack.channels.events import DELIVERED, FAILED, REFUSED
 from rowanrack.lab.books import Entry, Page
-from rowanrack.lab.checker import NEVER, SECOND_US
+from rowanrack.lab.checker import NEVER_US, SECOND_US
 from rowanrack.lab.log_rules import LogChecker, misses
 from rowanrack.model import spread as model_spread
 
@@ -128,7 +128,7 @@
         elif place in since:
             found[place].append((since.pop(place), entry.at))
     for place, at in since.items():
-        found[place].append((at, NEVER))
+        found[place].append((at, NEVER_US))
     return found
 
 
--- a/rowanrack/lab/log_rules.py
+++ b/rowanrack/lab/log_rules.py
@@ -17,7 +17,7 @@
 
 from rowanrack.channels.events import BEGUN, DELIVERED, FAILED, LOST, REFUSED, TAKEN
 from rowanrack.lab.books import Entry, Page
-from rowanrack.lab.checker import NEVER, SECOND_US, UNDER_WAY_US, Breach, Troubles
+from rowanrack.lab.checker import IN_FLIGHT_US, NEVER_US, SECOND_US, Disruptions, Violation
 
 NOTED_US = 1_500_000  # before a kill: what waited in memory is lost, and that is a second at most
 STAMPED_US = 2_000_000  # by so much a book's time and the event's may differ
@@ -91,9 +91,9 @@
         self, entries: Sequence[Entry], pages: Sequence[Page], heard_us: int = 10 * SECOND_US
     ) -> None:
         self.entries, self.pages, self.heard_us = entries, pages, heard_us
-        self.troubles = Troubles(entries)
+        self.disruptions = Disruptions(entries)
         self.orders = orders(pages)
-        self.breaches: list[Breach] = []
+        self.violations: list[Violation] = []
         clock = next((e for e in entries if e.what == "clock"), None)
         self.offset = clock.value - clock.at if clock is not None else 0  # Unix time less the books'
         self.restarts = Counter(e.who for e in entries if e.what == "up" and not e.note)
@@ -104,7 +104,7 @@
             channel: max(some, key=lambda order: order.until) for channel, some in self.orders.items()
         }
 
-    def check(self) -> list[Breach]:
+    def check(self) -> list[Violation]:
         """All rules."""
         self._order()
         self._events()
@@ -112,23 +112,23 @@
             if page.why in ("run", "lag"):
                 self._read(page)
         self._detached()
-        return sorted(self.breaches, key=lambda breach: breach.at_us)
+        return sorted(self.violations, key=lambda violation: violation.at_us)
 
-    def _breach(self, rule: str, at: int, message: str, text: str) -> None:
-        self.breaches.append(Breach(rule, at, message, text))
+    def _add_violation(self, rule: str, at: int, message: str, text: str) -> None:
+        self.violations.append(Violation(rule, at, message, text))
 
     # Order: the same from every keeper.
 
     def _order(self) -> None:
         if self.end is None:
             return
-        gone = any(until == NEVER for spans in self.troubles.spans.values() for _, until in spans)
+        gone = any(until == NEVER_US for spans in self.disruptions.spans.values() for _, until in spans)
         for channel in sorted({page.channel for page in self.pages}):
             some = self.orders.get(channel, [])
             if not some or (not gone and self.best[channel].until < self.end.value):
                 held = self.best[channel].held_by if some else "no keeper gave all of it"
                 text = f"channel {channel} was not settled behind the run: {held}"
-                self._breach("order", self.end.at, "", text)
+                self._add_violation("order", self.end.at, "", text)
             for order in some:
                 self._sorted(channel, order)
             for other in some[1:]:
@@ -139,7 +139,7 @@
         times = [event["at"] for event in order.events]
         if twice or times != sorted(times):
             text = f"channel {channel} at {order.by}: {f'{twice[0]} twice' if twice else 'times go back'}"
-            self._breach("order", self.end.at if self.end else 0, "", text)
+            self._add_violation("order", self.end.at if self.end else 0, "", text)
 
     def _compare(self, channel: str, one: Order, other: Order) -> None:
         until = min(one.until, other.until)
@@ -147,7 +147,7 @@
             if mine is None or its is None or same(mine) != same(its):
                 ids = [event["id"] if event else "nothing" for event in (mine, its)]
                 text = f"channel {channel}: {one.by} has {ids[0]} where {other.by} has {ids[1]}"
-                self._breach("order", self.end.at if self.end else 0, "", text)
+                self._add_violation("order", self.end.at if self.end else 0, "", text)
                 return
 
     # Events: what the books say is there, once.
@@ -178,8 +178,8 @@
 
     def _arrived(self, answer: Entry) -> bool:
         """Whether nothing can have kept an answer from its sender."""
-        since, until = answer.at - UNDER_WAY_US, answer.at + UNDER_WAY_US
-        return not any(self.troubles.within(where, since, until) for where in (answer.who, answer.place))
+        since, until = answer.at - IN_FLIGHT_US, answer.at + IN_FLIGHT_US
+        return not any(self.disruptions.overlap(where, since, until) for where in (answer.who, answer.place))
 
     def _events(self) -> None:
         kept: Counter[tuple[str, str, str, str, str]] = Counter()  # channel, origin, kind, message, place
@@ -199,18 +199,18 @@
             for owed in self._not_accounted(who, channel, some):
                 what = " or ".join(owed.kinds) + (f" at {owed.place}" if owed.place else "")
                 text = f"{who} did it, and channel {channel} has no {what} of it"
-                self._breach("event", owed.at, owed.message, text)
+                self._add_violation("event", owed.at, owed.message, text)
         self._doubled()
 
     def _killed(self, owed: Owed) -> bool:
         """Whether a kill of its sender, or the loss of its disk, may have taken what it had noted."""
-        if any(at >= owed.at for at in self.troubles.emptied[owed.who]):
+        if any(at >= owed.at for at in self.disruptions.disk_losses[owed.who]):
             return True
         kills = [e.at for e in self.entries if e.what == "down" and e.note == "kill" and e.who == owed.who]
         for kill in kills:
             # What waited for room on a full disk waited in memory.
-            since = min([kill, *(a for a, b in self.troubles.spans[owed.who] if a <= kill <= b)])
-            if since - NOTED_US <= owed.at <= kill + UNDER_WAY_US:
+            since = min([kill, *(a for a, b in self.disruptions.spans[owed.who] if a <= kill <= b)])
+            if since - NOTED_US <= owed.at <= kill + IN_FLIGHT_US:
                 return True
         return False
 
@@ -246,20 +246,20 @@
                     counts[e["origin"], message, e["kind"] + leg] += 1
                 if e["kind"] == DELIVERED and message not in delivered:
                     text = f"channel {channel} has it delivered, and no partner ran it"
-                    self._breach("event", at, message, text)
+                    self._add_violation("event", at, message, text)
             for (who, message, what), count in counts.items():
                 if count > 1 + self.restarts[who]:
                     text = f"channel {channel} has {what} {count} times from {who}"
-                    self._breach("event", 0, message, text)
+                    self._add_violation("event", 0, message, text)
 
     # Whole: what a read said is what the order turned out to be.
 
     def _read(self, page: Page) -> None:
         def bad(text: str) -> None:
-            self._breach("whole", page.at, "", f"{page.who}, channel {page.channel}: {text}")
+            self._add_violation("whole", page.at, "", f"{page.who}, channel {page.channel}: {text}")
 
         if page.status != 200:
-            if not page.status and not self.troubles.within(page.who, page.at - 12 * SECOND_US, page.at):
+            if not page.status and not self.disruptions.overlap(page.who, page.at - 12 * SECOND_US, page.at):
                 bad(f"no answer to a read: {page.text}")
             elif page.status and not page.text:
                 bad(f"{page.status} without a word")
@@ -295,10 +295,10 @@
             if owed.channel != page.channel or owed.at + self.offset + STAMPED_US > page.as_of:
                 continue
             has = any((owed.who, kind, owed.message) in told for kind in owed.kinds)
-            troubled = self.troubles.within(owed.who, owed.at - STAMPED_US, owed.at + STAMPED_US)
+            troubled = self.disruptions.overlap(owed.who, owed.at - STAMPED_US, owed.at + STAMPED_US)
             if not has and not troubled and not self._killed(owed):
                 text = f"{page.who}, channel {page.channel}: complete, without {' or '.join(owed.kinds)}"
-                self._breach("whole", page.at, owed.message, text)
+                self._add_violation("whole", page.at, owed.message, text)
 
     def _before(self, page: Page, until: int) -> list[Shown]:
         order = self.best.get(page.channel)
@@ -319,11 +319,11 @@
                 if entry.at > due:
                     late_s = (entry.at - said.at) / SECOND_US
                     text = f"{entry.who} called {entry.place} {late_s:.1f} s after {said.who} detached it"
-                    self._breach("detach", entry.at, entry.message, text)
+                    self._add_violation("detach", entry.at, entry.message, text)
 
     def _heard(self, who: str, since: int, due: int) -> int:
         """By when a sender has heard: behind its last trouble it has the whole time again."""
-        for begin, end in sorted(self.troubles.spans[who]):
+        for begin, end in sorted(self.disruptions.spans[who]):
             if begin <= due and end >= since:
                 due = max(due, end + self.heard_us)
         return due
