--- a/rowanrack/lab/figures.py
+++ b/rowanrack/lab/figures.py
@@ -13,7 +13,7 @@
 from rowanrack.channels.events import DELIVERED, FAILED, REFUSED
 from rowanrack.lab.books import Entry, Page
 from rowanrack.lab.checker import NEVER_US, SECOND_US
-from rowanrack.lab.log_rules import LogChecker, misses
+from rowanrack.lab.log_rules import LogChecker, reports_missing
 from rowanrack.model import spread as model_spread
 
 PHASE_US = 30 * SECOND_US
@@ -295,14 +295,14 @@
 
 def log_figures(entries: Sequence[Entry], pages: Sequence[Page], judge: LogChecker) -> dict[str, Any]:
     """The log: events, endings by it, when its order was settled, its lag, and what reads were told."""
-    kinds = Counter(e["kind"] for order in judge.best.values() for e in order.events)
+    kinds = Counter(e["kind"] for order in judge.longest_orders.values() for e in order.events)
     asked = next((e.at for e in entries if e.what == "end"), 0)
     settled: dict[str, float] = {}
     for channel in sorted({page.channel for page in pages}):
         good = [
             p.at for p in pages
             if p.why == "wait" and p.channel == channel and p.settled_until >= p.as_of
-            and not misses(p, "what others wrote")
+            and not reports_missing(p, "what others wrote")
         ]  # fmt: skip
         if good:
             settled[channel] = round((min(good) - asked) / SECOND_US, 2)
@@ -313,7 +313,7 @@
     return {
         "events": sum(kinds.values()),
         "by_kind": dict(sorted(kinds.items())),
-        "by_channel": {channel: len(order.events) for channel, order in sorted(judge.best.items())},
+        "by_channel": {channel: len(order.events) for channel, order in sorted(judge.longest_orders.items())},
         "endings": {kind: kinds[kind] for kind in (DELIVERED, REFUSED, FAILED)},
         "keepers_asked": {c: len({o.by for o in some}) for c, some in sorted(judge.orders.items())},
         "settled_s": max(settled.values(), default=None),
