--- a/rowanrack/lab/__main__.py
+++ b/rowanrack/lab/__main__.py
@@ -16,8 +16,8 @@
 
 from rowanrack.lab.books import now_us, read_pages
 from rowanrack.lab.channels import PORT, Reads, part_of
-from rowanrack.lab.checker import END_SLACK_US, Checker, figures
-from rowanrack.lab.figures import log_figures, run_figures, series
+from rowanrack.lab.checker import END_SLACK_US, Checker, summarize_run
+from rowanrack.lab.figures import log_statistics, plot_series, traffic_statistics
 from rowanrack.lab.fleet import Fleet, FleetError, Partner, settings
 from rowanrack.lab.log_rules import LogChecker
 from rowanrack.lab.plan import Move, Plan, make
@@ -132,7 +132,7 @@
     if channels is not None:
         judge = LogChecker(entries, pages, int(channels.heard_s * 1e6))
         breaches += judge.check()
-        log = {"log": log_figures(entries, pages, judge)}
+        log = {"log": log_statistics(entries, pages, judge)}
     slo_us = {grade.name: 1000 * grade.slo_ms for grade in scenario.grade}
     return {
         "rules": "broken" if breaches else "kept",
@@ -146,10 +146,10 @@
         "pss_mb_all": round(sum(pss for _, pss in memory) / 1e6),
         "moves": [f"{m.at_us / 1e6:g} s: {m.what} {m.on} {'on' if m.begins else 'over'}" for m in plan.moves],
         "cores": round(cores, 2),
-        **figures(entries),
-        **run_figures(entries),
+        **summarize_run(entries),
+        **traffic_statistics(entries),
         **log,
-        "series": series(entries, pages, slo_us),
+        "series": plot_series(entries, pages, slo_us),
     }
 
 
--- a/rowanrack/lab/checker.py
+++ b/rowanrack/lab/checker.py
@@ -234,7 +234,7 @@
             )
 
 
-def figures(entries: Sequence[Entry]) -> dict[str, Any]:
+def summarize_run(entries: Sequence[Entry]) -> dict[str, Any]:
     """Summarise a run: counts, times from submission to execution, and how even the calls were."""
     counts = Counter(entry.what for entry in entries)
     submitted = {entry.message: entry.at for entry in reversed(entries) if entry.what == "submit"}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -25,8 +25,8 @@
 from rowanrack.lab.__main__ import BAD_INPUT, NOT_PLAYED, bounded, main
 from rowanrack.lab.books import Entry, Page
 from rowanrack.lab.books import read as books
-from rowanrack.lab.checker import Checker, figures
-from rowanrack.lab.figures import log_figures, run_figures
+from rowanrack.lab.checker import Checker, summarize_run
+from rowanrack.lab.figures import log_statistics, traffic_statistics
 from rowanrack.lab.fleet import Figures, Fleet, Partner
 from rowanrack.lab.links import Relays, UdpLink
 from rowanrack.lab.log_rules import LogChecker
@@ -243,7 +243,7 @@
 
 def test_the_books_tell_how_even_calls_were() -> None:
     entries = [*GOOD, e(1000, "submit", "", "y", note="once")]
-    found = figures(sorted(entries, key=lambda entry: entry.at))["evenness"]["p-0"]
+    found = summarize_run(sorted(entries, key=lambda entry: entry.at))["evenness"]["p-0"]
     assert found == {"calls_per_s": 2.0, "peak_over_mean": 5.0, "least_over_mean": 0.0}
 
 
@@ -265,7 +265,7 @@
     entries += [e(6000, "notice", "s0", "z", note="given_up")]
     entries += [e(n, "told", "s0", place="p-2", note="DELETED" if n else "SERVING") for n in (0, 100)]
     entries += [e(1000 * n, "connected", "s0", place="p-0") for n in range(1, 23)]
-    found = run_figures(sorted(entries, key=lambda entry: entry.at))
+    found = traffic_statistics(sorted(entries, key=lambda entry: entry.at))
     (row,) = found["spread"]
     assert (row["calls"], row["peak_at"], row["peak"], row["least"]) == (88, "p-1", 1.11, 0.89)
     assert (row["endpoints"], row["away"], row["new"]) == (2, ["p-2"], 0.25)
@@ -413,7 +413,7 @@
         page([], why="run", complete=False, missing=missing),
         page([], why="run", complete=False, status=404),
     ]
-    log = log_figures([], pages, LogChecker([], pages))
+    log = log_statistics([], pages, LogChecker([], pages))
     assert log["why_incomplete"] == {"no keeper with all of it": 1}
     assert (log["incomplete"], log["never_seen"], log["nobody"]) == (1, 1, 0)
 
