--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -16,7 +16,7 @@
 import click
 import numpy as np
 
-from rowanrack.lab.fleet import Figures, Fleet, Partner, Sender
+from rowanrack.lab.fleet import Fleet, Partner, PartnerParameters, Sender
 from rowanrack.lab.plan import Arrival
 from rowanrack.net.fair_scheduling import FairLoop
 from rowanrack.store.log_sqlite import SqliteLog
@@ -72,7 +72,7 @@
 
 async def measure(senders: int, rate: float, seconds: float, rounds: int, at_once: bool) -> None:
     """Both fleets in turns or at once, so that the machine's state strikes both alike."""
-    figs = Figures(dest=1, rate=10 * rate, service_ms=(20, 40), queue=100, width=64)
+    figs = PartnerParameters(dest=1, rate=10 * rate, service_ms=(20, 40), queue=100, width=64)
     shop = [Partner("shop", figs, endpoints=3)]
     rows: dict[str, list[dict[str, float]]] = {"off": [], "on": []}
     with tempfile.TemporaryDirectory() as folder:
--- a/rowanrack/lab/__init__.py
+++ b/rowanrack/lab/__init__.py
@@ -1,6 +1,7 @@
-"""A lab of real processes: senders, stand-ins for partners, discovery and clients, and links that can fail.
+"""Fault-injection tests with real processes: senders, stand-ins for other services, and links that can fail.
 
-Owns how a fleet is started on one machine, hurt and judged: the processes (`fleet`), their links (`links`),
-the stand-ins (`partners`, `discovery`, `clients`), their books (`books`), the rules read from these
-(`checker`), and scenarios with their plans (`scenario`, `plan`). Nothing that serves imports it.
+Starts a fleet on one machine, injects faults and checks the outcome: the processes (`fleet`), their links
+(`links`), the stand-ins (`partners`, `discovery`, `clients`), their books (`books`), the rules that are
+checked on the books (`checker`, `log_rules`), and scenarios with their plans (`scenario`, `plan`). Production
+code does not import this package.
 """
--- a/rowanrack/lab/__main__.py
+++ b/rowanrack/lab/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rowanrack.lab SCENARIO --seed S --json FILE`: play a scenario, and judge it by the books."""
+"""`python -m rowanrack.lab SCENARIO --seed S --json FILE`: run a scenario and check the rules."""
 
 from __future__ import annotations
 
@@ -15,67 +15,67 @@
 import click
 
 from rowanrack.lab.books import now_us, read_pages
-from rowanrack.lab.channels import PORT, Reads, part_of
+from rowanrack.lab.channels import LOG_PORT, LogReader, channels_section
 from rowanrack.lab.checker import END_SLACK_US, Checker, summarize_run
 from rowanrack.lab.figures import log_statistics, plot_series, traffic_statistics
 from rowanrack.lab.fleet import Fleet, FleetError, Partner, settings
 from rowanrack.lab.log_rules import LogChecker
-from rowanrack.lab.plan import Move, Plan, make
+from rowanrack.lab.plan import FaultEvent, Plan, make_plan
 from rowanrack.lab.role import RoleError
-from rowanrack.lab.scenario import DETACH, LINK, SCENARIOS, Scenario, ScenarioError, read
+from rowanrack.lab.scenario import DETACH_FAULT, LINK_FAULTS, SCENARIOS, Scenario, ScenarioError, read
 
-KEPT, BROKEN, BAD_INPUT, NOT_PLAYED = 0, 1, 2, 3
-START_S = 1.0  # for each sender's start at most, beside a minute
-SHOWN = 20  # breaches printed
-STATES = {"down": "down", "shut": "shut", "failing": "failing", "mute": "silent"}
+EXIT_RULES_KEPT, EXIT_RULES_BROKEN, EXIT_BAD_INPUT, EXIT_NOT_COMPLETED = 0, 1, 2, 3
+SENDER_START_S = 1.0  # allowed per sender for its start, on top of a minute
+MAX_PRINTED_VIOLATIONS_COUNT = 20
+STATE_BY_FAULT = {"down": "down", "shut": "shut", "failing": "failing", "mute": "silent"}
 
 
-async def move(fleet: Fleet, one: Move) -> None:
-    """One fault begins, or is over."""
-    if one.what in LINK:
-        near, _, far = one.on.partition(">")
-        whole = fleet.links_of if near in fleet.senders else fleet.links_to
-        link = fleet.link(near, far) if far else whole(near)
-        if not one.begins:
+async def apply_fault_event(fleet: Fleet, event: FaultEvent) -> None:
+    """Begin or end a fault."""
+    if event.what in LINK_FAULTS:
+        near, _, far = event.on.partition(">")
+        links_of_target = fleet.links_of if near in fleet.senders else fleet.links_to
+        link = fleet.link(near, far) if far else links_of_target(near)
+        if not event.begins:
             await link.heal()
-        elif one.what == "cut":
+        elif event.what == "cut":
             await link.cut()
-        elif one.what == "slow":
-            await link.set(delay_ms=one.by)
+        elif event.what == "slow":
+            await link.set(delay_ms=event.by)
         else:
-            await link.set(**({"loss": one.by} if one.what == "lossy" else {one.what: True}))
-    elif one.what == DETACH:
-        await detach(fleet, one)
-    elif one.what == "drain":
-        await fleet.drain(one.on, "DRAINING" if one.begins else "SERVING")
-    elif one.what == "gone":
-        await fleet.drain(one.on, "DELETED" if one.begins else "SERVING")
-    elif one.what in STATES:
-        await fleet.endpoint(one.on, STATES[one.what] if one.begins else "up")
+            await link.set(**({"loss": event.by} if event.what == "lossy" else {event.what: True}))
+    elif event.what == DETACH_FAULT:
+        await detach(fleet, event)
+    elif event.what == "drain":
+        await fleet.drain(event.on, "DRAINING" if event.begins else "SERVING")
+    elif event.what == "gone":
+        await fleet.drain(event.on, "DELETED" if event.begins else "SERVING")
+    elif event.what in STATE_BY_FAULT:
+        await fleet.endpoint(event.on, STATE_BY_FAULT[event.what] if event.begins else "up")
     else:
-        await strike(fleet, one)
+        await apply_sender_fault(fleet, event)
 
 
-async def detach(fleet: Fleet, one: Move) -> None:
-    """An operator detaches an endpoint at a sender, or attaches it there. Raises FleetError."""
-    near, _, far = one.on.partition(">")
-    what = "detach" if one.begins else "attach"
+async def detach(fleet: Fleet, event: FaultEvent) -> None:
+    """Detach or attach an endpoint by an operator's call at a sender. Raises FleetError."""
+    near, _, far = event.on.partition(">")
+    what = "detach" if event.begins else "attach"
     status, body = await fleet.senders[near].mgmt(
         "POST", f"/_endpoints/{what}", json.dumps({"name": far}).encode()
     )
     if status != 200:
-        raise FleetError(f"{near}: no {what} of {far}: {status} {body.decode(errors='replace')}")
+        raise FleetError(f"{near}: {what} of {far} failed: {status} {body.decode(errors='replace')}")
     fleet.book.add(what, near, place=far)
 
 
-async def strike(fleet: Fleet, one: Move) -> None:
-    """The same for a sender."""
-    sender = fleet.senders[one.on]
-    match one.what, one.begins:
+async def apply_sender_fault(fleet: Fleet, event: FaultEvent) -> None:
+    """Begin or end a fault of a sender."""
+    sender = fleet.senders[event.on]
+    match event.what, event.begins:
         case "kill" | "lose", True:
             await sender.kill()
         case "kill" | "lose", False:
-            await sender.start(empty=one.what == "lose")
+            await sender.start(empty=event.what == "lose")
         case "hang", True:
             sender.hang()
         case "hang", False:
@@ -85,58 +85,62 @@
         case "disk", False:
             sender.free_disk()
         case "clock", _:
-            sender.set_clock_offset(one.by if one.begins else 0.0)
+            sender.set_clock_offset(event.by if event.begins else 0.0)
 
 
 async def play(scenario: Scenario, plan: Plan, folder: Path, seed: int) -> dict[str, Any]:
-    """Play a plan to its end; the result, whose `rules` are `kept` or `broken`."""
-    places = {p.name: Partner(p.name, p, p.endpoints) for p in scenario.partner}
-    told = settings(scenario.senders, scenario.grade, scenario.slots, scenario.held, scenario.notes)
+    """Run a plan to its end; returns the result, in which `rules` is `kept` or `broken`."""
+    partners = {p.name: Partner(p.name, p, p.endpoints) for p in scenario.partner}
+    settings_toml = settings(scenario.senders, scenario.grade, scenario.slots, scenario.held, scenario.notes)
     clocks = any(fault.what == "clock" for fault in scenario.fault)
     longest_s = max(grade.deadline_ms for grade in scenario.grade) / 1000
-    given: dict[str, Any] = {
-        "settings_toml": told,
+    fleet_options: dict[str, Any] = {
+        "settings_toml": settings_toml,
         "notes": scenario.notes,
         "skewed_clocks": clocks,
         "wave": scenario.wave,
     }
-    given |= {"disk_mb": scenario.disk_mb, "seed": str(seed)}
+    fleet_options |= {"disk_mb": scenario.disk_mb, "seed": str(seed)}
     channels = scenario.log
     if channels is not None:
-        given |= {"mesh": (PORT,), "is_relayed": plan.relayed, "extra_config": partial(part_of, channels)}
+        fleet_options |= {
+            "mesh": (LOG_PORT,),
+            "is_relayed": plan.needs_relay,
+            "extra_config": partial(channels_section, channels),
+        }
     began = now_us()
-    async with Fleet(folder / "fleet", scenario.senders, list(places.values()), **given) as fleet:
+    async with Fleet(folder / "fleet", scenario.senders, list(partners.values()), **fleet_options) as fleet:
         up_s = (now_us() - began) / 1e6
         memory = [sender.memory_bytes() for sender in fleet.senders.values()]
         starts = sorted(sender.start_duration_s for sender in fleet.senders.values())
         cpu = fleet.cpu_s()
         async with asyncio.TaskGroup() as group:
             group.create_task(fleet.submit_planned(plan.arrivals))
-            group.create_task(play_moves(fleet, plan.moves))
+            group.create_task(run_fault_events(fleet, plan.fault_events))
             if channels is not None:
-                reads = Reads(fleet, channels, list(scenario.channel_names.values()))
-                group.create_task(reads.play(plan.layouts, plan.reads))
-                looks = asyncio.create_task(reads.look(plan.reader))
+                log_reader = LogReader(fleet, channels, list(scenario.channel_names.values()))
+                group.create_task(log_reader.run_planned(plan.layouts, plan.reads))
+                lag_sampling = asyncio.create_task(log_reader.sample_lag(plan.reader))
         cores = (fleet.cpu_s() - cpu) / scenario.seconds
         await asyncio.sleep(longest_s + END_SLACK_US / 1e6)
         if channels is not None:
-            looks.cancel()
+            lag_sampling.cancel()
             with suppress(asyncio.CancelledError):
-                await looks
-            with closing(reads):
-                await reads.at_the_end(plan.reader)
+                await lag_sampling
+            with closing(log_reader):
+                await log_reader.read_final_orders(plan.reader)
         entries, pages = fleet.entries(), read_pages(fleet.books)
     once = frozenset(grade.name for grade in scenario.grade if grade.effect == "fragile")
-    breaches = Checker(entries, once, covered=scenario.covered).check()
+    violations = Checker(entries, once, covered=scenario.covered).check()
     log: dict[str, Any] = {}
     if channels is not None:
         judge = LogChecker(entries, pages, int(channels.heard_s * 1e6))
-        breaches += judge.check()
+        violations += judge.check()
         log = {"log": log_statistics(entries, pages, judge)}
     slo_us = {grade.name: 1000 * grade.slo_ms for grade in scenario.grade}
     return {
-        "rules": "broken" if breaches else "kept",
-        "breaches": [breach._asdict() for breach in breaches],
+        "rules": "broken" if violations else "kept",
+        "breaches": [violation._asdict() for violation in violations],
         "seed": seed,
         "senders": scenario.senders,
         "up_s": round(up_s, 2),
@@ -144,7 +148,9 @@
         "rss_mb": round(max(rss for rss, _ in memory) / 1e6, 1),
         "pss_mb": round(max(pss for _, pss in memory) / 1e6, 1),
         "pss_mb_all": round(sum(pss for _, pss in memory) / 1e6),
-        "moves": [f"{m.at_us / 1e6:g} s: {m.what} {m.on} {'on' if m.begins else 'over'}" for m in plan.moves],
+        "moves": [
+            f"{m.at_us / 1e6:g} s: {m.what} {m.on} {'on' if m.begins else 'over'}" for m in plan.fault_events
+        ],
         "cores": round(cores, 2),
         **summarize_run(entries),
         **traffic_statistics(entries),
@@ -153,54 +159,60 @@
     }
 
 
-async def play_moves(fleet: Fleet, moves: list[Move]) -> None:
-    """Each at its time; one that takes long holds no other up."""
+async def run_fault_events(fleet: Fleet, events: list[FaultEvent]) -> None:
+    """Apply each event at its time; a slow one does not delay the others."""
     began = now_us()
     async with asyncio.TaskGroup() as group:
-        for one in moves:
-            await asyncio.sleep((began + one.at_us - now_us()) / 1e6)
-            group.create_task(move(fleet, one))
+        for event in events:
+            await asyncio.sleep((began + event.at_us - now_us()) / 1e6)
+            group.create_task(apply_fault_event(fleet, event))
 
 
-async def bounded(scenario: Scenario, plan: Plan, folder: Path, seed: int) -> dict[str, Any]:
-    """The same, ended by SIGTERM, SIGINT, or when it takes far too long."""
+async def play_with_time_limit(scenario: Scenario, plan: Plan, folder: Path, seed: int) -> dict[str, Any]:
+    """Run `play`, and cancel it on SIGTERM, on SIGINT, or after a generous time limit."""
     loop, task = asyncio.get_running_loop(), asyncio.current_task()
     assert task is not None
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, task.cancel)
-    most_s = 60 + START_S * scenario.senders + 2 * scenario.seconds
-    most_s += 2 * scenario.log.settle_s + 60 if scenario.log is not None else 0
-    async with asyncio.timeout(most_s + 2 * max(g.deadline_ms for g in scenario.grade) / 1000):
+    limit_s = 60 + SENDER_START_S * scenario.senders + 2 * scenario.seconds
+    limit_s += 2 * scenario.log.settle_s + 60 if scenario.log is not None else 0
+    async with asyncio.timeout(limit_s + 2 * max(g.deadline_ms for g in scenario.grade) / 1000):
         return await play(scenario, plan, folder, seed)
 
 
 @click.command()
 @click.argument("scenario")
 @click.option(
-    "--seed", default=1, show_default=True, help="Who is hit, when messages come, and links' chances."
+    "--seed", default=1, show_default=True, help="Seed of fault targets, arrival times and link faults."
 )
-@click.option("--json", "where", type=click.Path(path_type=Path), help="Write the result here.")
-@click.option("--plot", type=click.Path(path_type=Path), help="Draw the run here, as SVG (needs matplotlib).")
-@click.option("--keep", type=click.Path(path_type=Path), help="A new folder for books, logs and journals.")
-@click.option("--plan", "only_plan", is_flag=True, help="Print the plan, and play nothing.")
+@click.option("--json", "where", type=click.Path(path_type=Path), help="Write the result to this file.")
+@click.option(
+    "--plot", type=click.Path(path_type=Path), help="Plot the run to this SVG file (needs matplotlib)."
+)
+@click.option(
+    "--keep", type=click.Path(path_type=Path), help="Keep books, logs and journals in this new folder."
+)
+@click.option("--plan", "only_plan", is_flag=True, help="Print the plan without running it.")
 def main(
     scenario: str, seed: int, where: Path | None, plot: Path | None, keep: Path | None, only_plan: bool
 ) -> None:
-    """Play SCENARIO: a name that comes with the program, or a file. 0 rules kept, 1 broken, 2 bad input."""
-    own = SCENARIOS / f"{scenario}.toml"
+    """Run SCENARIO, a bundled name or a file. Exit: 0 rules kept, 1 broken, 2 bad input, 3 not completed."""
+    bundled = SCENARIOS / f"{scenario}.toml"
     try:
-        found = read(own if own.is_file() else Path(scenario))
+        found = read(bundled if bundled.is_file() else Path(scenario))
         if keep is not None and keep.exists():
-            raise ScenarioError(f"--keep: {keep} is there already")
+            raise ScenarioError(f"--keep: {keep} already exists")
         if plot is not None and find_spec("matplotlib") is None:
             raise ScenarioError("--plot: matplotlib is not installed")
     except ScenarioError as error:
         click.echo(f"rowanrack.lab: {error}", err=True)
-        raise SystemExit(BAD_INPUT) from None
-    plan = make(found, seed)
+        raise SystemExit(EXIT_BAD_INPUT) from None
+    plan = make_plan(found, seed)
     if only_plan:
-        for one in plan.moves:
-            click.echo(f"{one.at_us / 1e6:8.3f} s  {one.what} {one.on} {'on' if one.begins else 'over'}")
+        for event in plan.fault_events:
+            click.echo(
+                f"{event.at_us / 1e6:8.3f} s  {event.what} {event.on} {'on' if event.begins else 'over'}"
+            )
         for layout in plan.layouts:
             click.echo(f"{layout.at_us / 1e6:8.3f} s  layout of {len(layout.sites)} sites at {layout.on}")
         click.echo(f"{len(plan.arrivals)} messages, {len(plan.reads)} reads")
@@ -208,22 +220,22 @@
     with ExitStack() as stack:
         folder = keep or Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="lab-")))
         try:
-            result = asyncio.run(bounded(found, plan, folder, seed))
-        except* (FleetError, RoleError, OSError) as error:  # TimeoutError is one
+            result = asyncio.run(play_with_time_limit(found, plan, folder, seed))
+        except* (FleetError, RoleError, OSError) as error:  # OSError includes TimeoutError
             first: BaseException = error
             while isinstance(first, BaseExceptionGroup):
                 first = first.exceptions[0]
-            raise SystemExit(not_played(str(first) or "it took too long")) from None
+            raise SystemExit(report_failure(str(first) or "the time limit was exceeded")) from None
         except* asyncio.CancelledError:
-            raise SystemExit(not_played("ended by a signal")) from None
+            raise SystemExit(report_failure("ended by a signal")) from None
     if where is not None:
         where.write_text(json.dumps(result, indent=1) + "\n")
     if plot is not None:
-        from rowanrack.lab.plot import draw  # matplotlib is a tool's
+        from rowanrack.lab.plot import draw  # imported late because matplotlib is optional
 
         draw(result, plot)
-    for breach in result["breaches"][:SHOWN]:
-        click.echo(f"{breach['rule']}: {breach['message']} {breach['text']}")
+    for violation in result["breaches"][:MAX_PRINTED_VIOLATIONS_COUNT]:
+        click.echo(f"{violation['rule']}: {violation['message']} {violation['text']}")
     shown = (
         "taken",
         "ran",
@@ -243,13 +255,13 @@
         keys = ("events", "settled_s", *reads, "lag_ms_p50", "lag_ms_most")
         click.echo("log: " + ", ".join(f"{key} {log[key]}" for key in keys) + f", {result['cores']} cores")
     click.echo(f"rules {result['rules']}: {len(result['breaches'])} breaches")
-    raise SystemExit(BROKEN if result["breaches"] else KEPT)
+    raise SystemExit(EXIT_RULES_BROKEN if result["breaches"] else EXIT_RULES_KEPT)
 
 
-def not_played(why: str) -> int:
-    """Say why there is no result; the exit code."""
-    click.echo(f"rowanrack.lab: not played to its end: {why}", err=True)
-    return NOT_PLAYED
+def report_failure(why: str) -> int:
+    """Print why there is no result; returns the exit code."""
+    click.echo(f"rowanrack.lab: run not completed: {why}", err=True)
+    return EXIT_NOT_COMPLETED
 
 
 if __name__ == "__main__":
--- a/rowanrack/lab/books.py
+++ b/rowanrack/lab/books.py
@@ -1,4 +1,4 @@
-"""Books: what a stand-in saw, one JSON line each, on the clock that all processes of a machine share."""
+"""Books: the events that each process records as JSON lines, with times of a clock that all share."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import msgspec
 
-READS = "reads.jsonl"  # the book of reads: `Page`s
+READS = "reads.jsonl"  # the book of reads, which holds `Page` records
 
 
 class Entry(msgspec.Struct, omit_defaults=True, frozen=True):
-    """One line; times in microseconds of CLOCK_MONOTONIC. docs/lab.md says what fields mean by `what`."""
+    """One event, with CLOCK_MONOTONIC microseconds in `at`. docs/lab.md explains the fields by `what`."""
 
     at: int
     what: str
@@ -25,21 +25,21 @@
 
 
 class Page(msgspec.Struct, omit_defaults=True, frozen=True, kw_only=True):
-    """What a read of the past was answered; times of the log are Unix microseconds.
+    """The answer to a read of the event log; times of the log are Unix microseconds.
 
-    `why`: `run` (by the plan), `lag` (a look at it), `wait` and `end` (behind the run); the pages of one
-    read share `series`.
+    `why` is `run` (a planned read), `lag` (a measurement of the lag), or `wait` and `end` (after the run).
+    The pages of one read share `series`.
     """
 
-    at: int  # when it was answered, CLOCK_MONOTONIC
+    at: int  # time of the answer, CLOCK_MONOTONIC
     who: str  # the sender that was asked
     channel: str
     as_of: int
     limit: int
     why: str
     series: int = 0
-    status: int = 0  # 0: no answer
-    text: str = ""  # of one that is no document
+    status: int = 0  # of HTTP; 0: no answer
+    text: str = ""  # of an answer that is not a JSON document
     layout: int = 0
     answered_by: str = ""
     settled_until: int = 0
@@ -51,12 +51,12 @@
 
 
 def now_us() -> int:
-    """CLOCK_MONOTONIC."""
+    """Return the time of CLOCK_MONOTONIC in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class Book:
-    """Appends entries; each is in the kernel's hands before anybody is answered."""
+    """Appends entries unbuffered: an entry has reached the kernel before its caller sends any answer."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("ab", buffering=0)
@@ -71,17 +71,17 @@
         value: int = 0,
         note: str = "",
     ) -> None:
-        """One entry, as of now."""
+        """Append an entry with the current time."""
         entry = Entry(now_us(), what, who, message, place, dest, value, note)
         self._file.write(msgspec.json.encode(entry) + b"\n")
 
     def close(self) -> None:
-        """Write no more."""
+        """Close the file."""
         self._file.close()
 
 
 def read(folder: Path) -> list[Entry]:
-    """All books of a folder as one, in the order of time; a torn last line is left out."""
+    """Read all books of a folder, merged in the order of time; an incomplete last line is skipped."""
     entries: list[Entry] = []
     for path in sorted(path for path in folder.glob("*.jsonl") if path.name != READS):
         lines = path.read_bytes().split(b"\n")[:-1]
@@ -90,7 +90,7 @@
 
 
 def read_pages(folder: Path) -> list[Page]:
-    """The book of reads; none without it."""
+    """Read the book of reads; returns an empty list if there is none."""
     path = folder / READS
     lines = path.read_bytes().split(b"\n")[:-1] if path.exists() else []
     return [msgspec.json.decode(line, type=Page) for line in lines]
--- a/rowanrack/lab/clients.py
+++ b/rowanrack/lab/clients.py
@@ -1,8 +1,8 @@
-"""Stand-ins for clients: many in one process, each message handed in by the plan.
+"""Stand-ins for clients: many in one process, submitting messages as planned.
 
-A client that hears BUSY, or whose connection is refused, goes on to the next sender of its order. One that
-hears nothing does not know whether its message was taken: it stays with that sender, under the same id, until
-the message's time is up.
+A client that is answered BUSY, or whose connection is refused, tries the next sender in its order. Without an
+answer it cannot know whether the message was accepted, so it retries at the same sender, with the same id,
+until the deadline.
 """
 
 from __future__ import annotations
@@ -16,95 +16,95 @@
 
 from rowanrack.lab.books import Book, now_us
 from rowanrack.lab.plan import Arrival
-from rowanrack.lab.role import Do
+from rowanrack.lab.role import CommandHandler
 from rowanrack.lab.stand_in import Client
 from rowanrack.net.stream import Stream
 
-HEAR_S = 2.0  # for which a client waits for an answer
-AGAIN_S = 0.3  # before it tries the same sender again
-BUSY_MOST_S = 1.0
-LAST_US = 500_000  # before its time is up a client gives up asking
-BUSY_TRIES = 4
-HEARD = {"+OK": "taken", "lost": "unsure", "refused": "refused"}  # as the book has it
-BUSY = re.compile(r"-BUSY (\d+)")
+ANSWER_TIMEOUT_S = 2.0
+RETRY_DELAY_S = 0.3  # before a retry at the same sender
+MAX_BUSY_WAIT_S = 1.0
+STOP_RETRYING_US = 500_000  # before the deadline, a client stops retrying
+MAX_SENDERS_TRIED_COUNT = 4
+EVENT_BY_ANSWER = {"+OK": "taken", "lost": "unsure", "refused": "refused"}  # names of events in the book
+BUSY_PATTERN = re.compile(r"-BUSY (\d+)")
 
 
-class Crowd:
-    """All clients; connections to a sender are shared, one command at a time on each."""
+class ClientPool:
+    """All clients; they share connections to a sender, with one command at a time on each."""
 
     def __init__(self, book: Book) -> None:
         self.book = book
         self.senders: dict[str, tuple[str, int]] = {}
         self.idle: dict[str, list[Client]] = {}
 
-    async def do(self, do: str, given: dict[str, Any]) -> Any:
-        """One command of the lab."""
-        match do:
+    async def execute(self, command: str, arguments: dict[str, Any]) -> Any:
+        """Execute one command of the lab."""
+        match command:
             case "open":
-                self.senders = {name: (host, port) for name, (host, port) in given["senders"].items()}
+                self.senders = {name: (host, port) for name, (host, port) in arguments["senders"].items()}
                 self.idle = {name: [] for name in self.senders}
             case "submit":
-                arrival = msgspec.convert(given["arrival"], Arrival)
+                arrival = msgspec.convert(arguments["arrival"], Arrival)
                 left_us = 1000 * arrival.left_ms
-                return await self._once(arrival, arrival.order[0], now_us() + left_us, left_us)
+                return await self._submit_once(arrival, arrival.order[0], now_us() + left_us, left_us)
             case "run":
-                arrivals = msgspec.convert(given["arrivals"], list[Arrival])
-                await self._run(arrivals)
+                arrivals = msgspec.convert(arguments["arrivals"], list[Arrival])
+                await self._submit_all(arrivals)
             case _:
                 raise ValueError("unknown command")
         return None
 
-    async def _run(self, arrivals: list[Arrival]) -> None:
+    async def _submit_all(self, arrivals: list[Arrival]) -> None:
         began = now_us()
         async with asyncio.TaskGroup() as group:
             for arrival in arrivals:
                 await asyncio.sleep((began + arrival.at_us - now_us()) / 1e6)
-                group.create_task(self._hand_in(arrival))
+                group.create_task(self._submit_until_settled(arrival))
 
-    async def _hand_in(self, arrival: Arrival) -> None:
+    async def _submit_until_settled(self, arrival: Arrival) -> None:
         due = now_us() + 1000 * arrival.left_ms
         self.book.add("submit", "", arrival.id, dest=arrival.dest, value=due, note=arrival.cls)
-        for name in arrival.order[:BUSY_TRIES]:
+        for name in arrival.order[:MAX_SENDERS_TRIED_COUNT]:
             began, unsure = now_us(), False
-            said = await self._once(arrival, name, due, due - began)
-            while said == "lost" or (unsure and said == "refused"):
-                if now_us() > due - LAST_US:
+            answer = await self._submit_once(arrival, name, due, due - began)
+            while answer == "lost" or (unsure and answer == "refused"):
+                if now_us() > due - STOP_RETRYING_US:
                     return
                 unsure = True
-                await asyncio.sleep(AGAIN_S)
-                said = await self._once(arrival, name, due, due - began)
-            if (busy := BUSY.match(said)) is not None:
-                await asyncio.sleep(min(int(busy[1]) / 1000, BUSY_MOST_S))
-            elif said != "refused":
+                await asyncio.sleep(RETRY_DELAY_S)
+                answer = await self._submit_once(arrival, name, due, due - began)
+            if (busy := BUSY_PATTERN.match(answer)) is not None:
+                await asyncio.sleep(min(int(busy[1]) / 1000, MAX_BUSY_WAIT_S))
+            elif answer != "refused":
                 return
         self.book.add("declined", "", arrival.id)
 
-    async def _once(self, arrival: Arrival, name: str, due: int, most_us: int) -> str:
-        """One try; what was heard. `most_us` is the longest time that this sender was told for it so far.
+    async def _submit_once(self, arrival: Arrival, name: str, due: int, longest_deadline_us: int) -> str:
+        """Submit once; returns the answer. `longest_deadline_us`: the longest time left that was sent so far.
 
-        A sender counts a message's time from when it reads it, which may be as late as its OK comes.
+        A sender counts the time left from when it reads the message, which may be as late as its OK.
         """
         left_ms = max(1, (due - now_us()) // 1000)
-        said = "lost"  # unless something is heard
+        answer = "lost"  # unless an answer arrives
         client: Client | None = None
         try:
-            async with asyncio.timeout(HEAR_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 client = await self._client(name)
-                heard = await client.submit(arrival.id, arrival.cls, left_ms, arrival.dest)
-                said = heard.decode().strip() or "lost"
+                reply = await client.submit(arrival.id, arrival.cls, left_ms, arrival.dest)
+                answer = reply.decode().strip() or "lost"
         except ConnectionRefusedError:
-            said = "refused"
+            answer = "refused"
         except (OSError, TimeoutError):
             pass
-        what = HEARD.get(said, "busy" if BUSY.match(said) else "bad")
-        value = now_us() + most_us if what == "taken" else due
+        what = EVENT_BY_ANSWER.get(answer, "busy" if BUSY_PATTERN.match(answer) else "bad")
+        value = now_us() + longest_deadline_us if what == "taken" else due
         self.book.add(what, name, arrival.id, dest=arrival.dest, value=value, note=arrival.cls)
         if client is not None:
-            if said == "lost":
+            if answer == "lost":
                 client.stream.abort()
             else:
                 self.idle[name].append(client)
-        return said
+        return answer
 
     async def _client(self, name: str) -> Client:
         while self.idle[name]:
@@ -115,6 +115,6 @@
         return Client(await Stream.connect(*self.senders[name]))
 
 
-def role(book: str) -> Do:
-    """What the hosting process runs."""
-    return Crowd(Book(Path(book))).do
+def role(book: str) -> CommandHandler:
+    """Return the command handler that the hosting process runs."""
+    return ClientPool(Book(Path(book))).execute
--- a/rowanrack/lab/fleet.py
+++ b/rowanrack/lab/fleet.py
@@ -23,7 +23,7 @@
 
 from rowanrack.lab import skewed
 from rowanrack.lab.books import Book, Entry, read
-from rowanrack.lab.partners import Figures
+from rowanrack.lab.partners import PartnerParameters
 from rowanrack.lab.plan import Arrival
 from rowanrack.lab.role import ROOT, Role
 from rowanrack.lab.scenario import GRADES, Grade
@@ -94,7 +94,7 @@
     """A destination and its endpoints, which are named NAME-0, NAME-1 and so on."""
 
     name: str
-    figures: Figures
+    parameters: PartnerParameters
     endpoints: int = 2
 
     @property
@@ -392,7 +392,7 @@
         self.clients = await self._start_role("clients", str(self.books / "clients.jsonl"))
         self.discovery_port = await self.discovery.ask("open")
         partner_specs = [
-            {"figures": msgspec.to_builtins(p.figures), "endpoints": p.places} for p in self.partners
+            {"figures": msgspec.to_builtins(p.parameters), "endpoints": p.places} for p in self.partners
         ]
         names = list(self.senders)
         self.endpoints: dict[str, int] = await self.partner_process.ask(
@@ -443,10 +443,10 @@
                 "host": endpoint,
                 "site": "a",
                 "class": "lab",
-                "block": partner.figures.dest,
+                "block": partner.parameters.dest,
                 "health": "SERVING",
             }
-            | {"share": partner.figures.rate / partner.endpoints * partner.figures.listed, "born_ms": 0}
+            | {"share": partner.parameters.rate / partner.endpoints * partner.parameters.listed, "born_ms": 0}
             for partner in self.partners
             for endpoint in partner.places
         ]
@@ -567,4 +567,4 @@
         return entries
 
 
-__all__ = ["Figures", "Fleet", "FleetError", "Link", "Partner", "Sender"]
+__all__ = ["Fleet", "FleetError", "Link", "Partner", "PartnerParameters", "Sender"]
--- a/rowanrack/lab/links.py
+++ b/rowanrack/lab/links.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import Any, cast
 
-from rowanrack.lab.role import Do
+from rowanrack.lab.role import CommandHandler
 from rowanrack.lab.stand_in import reserve
 
 Address = tuple[str, int]
@@ -369,6 +369,6 @@
         await link.apply_changes()
 
 
-def role(seed: str = "0") -> Do:
+def role(seed: str = "0") -> CommandHandler:
     """Return the command handler that the hosting process runs."""
     return Relays(seed).execute
--- a/rowanrack/lab/partners.py
+++ b/rowanrack/lab/partners.py
@@ -1,6 +1,6 @@
-"""Stand-ins for partners: endpoints with limits, queues, capacity, told waits, and a cold return.
+"""Stand-ins for partners: endpoints with rate limits, queues, capacity, retry-after waits and cold returns.
 
-How much an endpoint bears is told to nobody; what it saw and did stands in its book.
+Nobody is told the capacity of an endpoint; an endpoint records what it received and did in its book.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import msgspec
 
 from rowanrack.lab.books import Book, now_us
-from rowanrack.lab.role import Do
+from rowanrack.lab.role import CommandHandler
 from rowanrack.lab.stand_in import HttpServer, sender_address
 from rowanrack.net.http import Reply, Request
 from rowanrack.net.stream import Stream
@@ -21,13 +21,13 @@
 SECOND_US = 1_000_000
 
 
-class Figures(msgspec.Struct, frozen=True, kw_only=True):
-    """The true figures of one partner: rates in calls a second, times in milliseconds."""
+class PartnerParameters(msgspec.Struct, frozen=True, kw_only=True):
+    """The true parameters of one partner: rates in calls per second, times in milliseconds."""
 
     dest: int
-    rate: float = 50.0  # that all senders together may call, over all endpoints,
-    listed: bool = True  # and whether discovery tells it
-    told: float = 1.0  # share of refusals that tell a wait
+    rate: float = 50.0  # limit of all senders together, over all endpoints
+    listed: bool = True  # whether discovery publishes the rate
+    told: float = 1.0  # share of refusals with a retry-after wait
     wait_ms: tuple[int, int] = (300, 800)
     width: int = 8  # calls that an endpoint serves at once
     queue: int = 16
@@ -37,23 +37,23 @@
     overload: float = 2.0
     fall_ms: int = 2000
 
-    def bears(self, endpoints: int) -> int:
-        """Calls that an endpoint bears in the fall time when it is back from an outage."""
+    def cold_call_limit(self, endpoints: int) -> int:
+        """Return how many calls an endpoint can bear within `fall_ms` after it returns from an outage."""
         return int(self.overload * self.cold_share * self.rate / endpoints * self.fall_ms / 1000)
 
 
 class Partner:
-    """One destination: its limit holds for all endpoints together."""
+    """One destination, with a token bucket that its endpoints share."""
 
-    def __init__(self, figures: Figures, endpoints: int) -> None:
-        self.figures, self.endpoints = figures, endpoints
-        self.most = max(2.0, figures.rate)
-        self.tokens, self.filled_at = self.most, now_us()
+    def __init__(self, parameters: PartnerParameters, endpoints: int) -> None:
+        self.parameters, self.endpoints = parameters, endpoints
+        self.burst = max(2.0, parameters.rate)
+        self.tokens, self.filled_at = self.burst, now_us()
 
-    def take(self, now: int) -> int:
-        """0 if a call is within the limit, else the microseconds until there is room."""
-        rate = self.figures.rate
-        self.tokens = min(self.most, self.tokens + rate * (now - self.filled_at) / SECOND_US)
+    def take_token(self, now: int) -> int:
+        """Take a token; returns 0, or without one the microseconds until the next token."""
+        rate = self.parameters.rate
+        self.tokens = min(self.burst, self.tokens + rate * (now - self.filled_at) / SECOND_US)
         self.filled_at = now
         if self.tokens >= 1:
             self.tokens -= 1
@@ -62,20 +62,20 @@
 
 
 class Endpoint(HttpServer):
-    """One instance of a partner: up, down (refuses connections), shut (refuses calls), failing or silent."""
+    """An endpoint of a partner: up, down (refuses connections), shut (refuses calls), failing or silent."""
 
-    def __init__(self, name: str, partner: Partner, town: Town) -> None:
+    def __init__(self, name: str, partner: Partner, host: PartnerHost) -> None:
         super().__init__()
-        self.name, self.partner, self.town = name, partner, town
+        self.name, self.partner, self.host = name, partner, host
         self.state, self.cold_from, self.slow = "up", 0, 1.0
         self.busy, self.queue = 0, list[asyncio.Future[None]]()
-        self.rng = Random(f"{town.seed} {name}")
+        self.rng = Random(f"{host.seed} {name}")
 
     def _add(self, what: str, who: str, message: str, value: int = 0, note: str = "") -> None:
-        self.town.book.add(what, who, message, self.name, self.partner.figures.dest, value, note)
+        self.host.book.add(what, who, message, self.name, self.partner.parameters.dest, value, note)
 
-    async def turn(self, state: str) -> None:
-        """An outage begins, or is over: it comes back cold."""
+    async def set_state(self, state: str) -> None:
+        """Set the state; an endpoint that comes up is cold."""
         self.state = state
         if state == "down":
             self.shut()
@@ -83,21 +83,25 @@
             self.cold_from = now_us()
         if state != "down" and self.server is None:
             await self.open()
-        self._add("state", "", "", self.partner.figures.bears(self.partner.endpoints), state)
-
-    def _share(self) -> float:
-        """What part of its capacity it has."""
-        figures = self.partner.figures
-        gone = (now_us() - self.cold_from) / (1000 * figures.ramp_ms)
-        return min(1.0, figures.cold_share + (1 - figures.cold_share) * gone) if self.cold_from else 1.0
+        self._add("state", "", "", self.partner.parameters.cold_call_limit(self.partner.endpoints), state)
+
+    def _capacity_share(self) -> float:
+        """Return the share of the full capacity that is available now."""
+        parameters = self.partner.parameters
+        ramp_progress = (now_us() - self.cold_from) / (1000 * parameters.ramp_ms)
+        return (
+            min(1.0, parameters.cold_share + (1 - parameters.cold_share) * ramp_progress)
+            if self.cold_from
+            else 1.0
+        )
 
     async def _talk(self, stream: Stream, peer: str) -> None:
-        self._add("connected", self.town.names.get(peer, peer), "")
+        self._add("connected", self.host.sender_names.get(peer, peer), "")
         await super()._talk(stream, peer)
 
     async def answer(self, request: Request, peer: str) -> Reply | None:
-        """One call."""
-        who, message = self.town.names.get(peer, peer), request.headers.get("x-txn", "")
+        """Answer one call."""
+        who, message = self.host.sender_names.get(peer, peer), request.headers.get("x-txn", "")
         self._add("call", who, message)
         reply = await self._call(who, message)
         wait_ms = int(reply.headers.get("x-retry-in-ms", "0"))
@@ -105,83 +109,85 @@
         return reply
 
     async def _call(self, who: str, message: str) -> Reply:
-        figures = self.partner.figures
+        parameters = self.partner.parameters
         if self.state == "silent":
             await asyncio.Event().wait()
         if self.state == "failing":
             return Reply(500, {})
-        room_us = 1000 * figures.wait_ms[1] if self.state == "shut" else self.partner.take(now_us())
-        full = self.busy >= figures.width and len(self.queue) >= figures.queue
-        if room_us or full:
-            if self.rng.random() >= figures.told:
+        wait_for_token_us = (
+            1000 * parameters.wait_ms[1] if self.state == "shut" else self.partner.take_token(now_us())
+        )
+        full = self.busy >= parameters.width and len(self.queue) >= parameters.queue
+        if wait_for_token_us or full:
+            if self.rng.random() >= parameters.told:
                 return Reply(503, {})
-            wait_ms = max(room_us // 1000 + 1, self.rng.randint(*figures.wait_ms))
+            wait_ms = max(wait_for_token_us // 1000 + 1, self.rng.randint(*parameters.wait_ms))
             return Reply(429, {"x-retry-in-ms": str(wait_ms)})
-        if self.busy >= figures.width:
-            turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self.queue.append(turn)
+        if self.busy >= parameters.width:
+            start: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+            self.queue.append(start)
             try:
-                await turn
+                await start
             except asyncio.CancelledError:
-                if turn in self.queue:
-                    self.queue.remove(turn)
+                if start in self.queue:
+                    self.queue.remove(start)
                 else:
-                    self._next()
+                    self._start_next()
                 raise
         else:
             self.busy += 1
-        # From here on it runs, also if its caller leaves.
+        # From here on the call runs, even if its caller disconnects.
         self._add("ran", who, message)
-        work_s = self.rng.uniform(*figures.service_ms) / 1000 * self.slow / self._share()
+        work_s = self.rng.uniform(*parameters.service_ms) / 1000 * self.slow / self._capacity_share()
         done = asyncio.get_running_loop().create_future()
-        asyncio.get_running_loop().call_later(work_s, self._served, done)
+        asyncio.get_running_loop().call_later(work_s, self._finish, done)
         await done
         return Reply(200, {})
 
-    def _served(self, done: asyncio.Future[None]) -> None:
+    def _finish(self, done: asyncio.Future[None]) -> None:
         if not done.done():
             done.set_result(None)
-        self._next()
+        self._start_next()
 
-    def _next(self) -> None:
-        """A place is free: the next in the queue has it."""
+    def _start_next(self) -> None:
+        """Give the free slot to the next call in the queue."""
         while self.queue:
-            turn = self.queue.pop(0)
-            if not turn.done():
-                turn.set_result(None)
+            start = self.queue.pop(0)
+            if not start.done():
+                start.set_result(None)
                 return
         self.busy -= 1
 
 
-class Town:
-    """All endpoints of all partners."""
+class PartnerHost:
+    """Hosts all endpoints of all partners."""
 
     def __init__(self, book: Book, seed: str) -> None:
         self.book, self.seed = book, seed
         self.endpoints: dict[str, Endpoint] = {}
-        self.names: dict[str, str] = {}  # senders by address
+        self.sender_names: dict[str, str] = {}  # senders by address
 
-    async def do(self, do: str, given: dict[str, Any]) -> Any:
-        """One command of the lab."""
-        match do:
+    async def execute(self, command: str, arguments: dict[str, Any]) -> Any:
+        """Execute one command of the lab."""
+        match command:
             case "open":
-                self.names = {sender_address(n): name for n, name in enumerate(given["senders"])}
-                for told in given["partners"]:
-                    figures = msgspec.convert(told["figures"], Figures)
-                    partner = Partner(figures, len(told["endpoints"]))
-                    for name in told["endpoints"]:
+                self.sender_names = {sender_address(n): name for n, name in enumerate(arguments["senders"])}
+                for partner_spec in arguments["partners"]:
+                    parameters = msgspec.convert(partner_spec["figures"], PartnerParameters)
+                    partner = Partner(parameters, len(partner_spec["endpoints"]))
+                    for name in partner_spec["endpoints"]:
                         endpoint = self.endpoints[name] = Endpoint(name, partner, self)
                         await endpoint.open()
                 return {name: endpoint.port for name, endpoint in self.endpoints.items()}
             case "state":
-                await self.endpoints[given["name"]].turn(given["state"])
+                await self.endpoints[arguments["name"]].set_state(arguments["state"])
             case "slow":
-                self.endpoints[given["name"]].slow = given["factor"]
+                self.endpoints[arguments["name"]].slow = arguments["factor"]
             case _:
                 raise ValueError("unknown command")
         return None
 
 
-def role(book: str, seed: str = "0") -> Do:
-    """What the hosting process runs."""
-    return Town(Book(Path(book)), seed).do
+def role(book: str, seed: str = "0") -> CommandHandler:
+    """Return the command handler that the hosting process runs."""
+    return PartnerHost(Book(Path(book)), seed).execute
--- a/rowanrack/lab/scenario.py
+++ b/rowanrack/lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios as typed records: what may stand in their TOML files, and a plain line for what may not."""
+"""Scenario files: the schema of their TOML, and one-line messages for errors in them."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from rowanrack.lab.partners import Figures
+from rowanrack.lab.partners import PartnerParameters
 from rowanrack.site_file import Above, Count, Share, Whole, explain, line_of
 
 SCENARIOS = Path(__file__).parent / "scenarios"
-SENDER = frozenset({"kill", "lose", "hang", "disk", "clock"})
-LINK = frozenset({"cut", "silent", "stall", "slow", "lossy"})
-PLACE = frozenset({"down", "shut", "failing", "mute", "drain", "gone"})
-DETACH = "detach"
-What = Literal[
+SENDER_FAULTS = frozenset({"kill", "lose", "hang", "disk", "clock"})
+LINK_FAULTS = frozenset({"cut", "silent", "stall", "slow", "lossy"})
+ENDPOINT_FAULTS = frozenset({"down", "shut", "failing", "mute", "drain", "gone"})
+DETACH_FAULT = "detach"
+FaultKind = Literal[
     "kill", "lose", "hang", "disk", "clock", "cut", "silent", "stall", "slow", "lossy",
     "down", "shut", "failing", "mute", "drain", "gone", "detach",
 ]  # fmt: skip
 Seconds = Annotated[float, Meta(ge=0)]
-FLEET = "fleet"  # the channel that all senders keep
+FLEET_CHANNEL = "fleet"  # the channel of which every sender is a keeper
 
 
 class ScenarioError(ValueError):
-    """The file cannot be used; the text names file, line and key."""
+    """The scenario file is invalid; the text names file, line and key."""
 
 
 class Table(Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """A table: a key that is not known is a mistake."""
+    """Base class of TOML tables; unknown keys are errors."""
 
 
 class Grade(Table, frozen=True):
-    """A class of messages; times in milliseconds."""
+    """A message class; times in milliseconds."""
 
     name: str
     effect: Literal["retryable", "fragile"]
@@ -45,8 +45,8 @@
     late_worth: Share = 0.4
 
 
-class Place(Figures, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """A partner: its figures, its endpoints NAME-0 and on, and its share of the traffic."""
+class PartnerTable(PartnerParameters, forbid_unknown_fields=True, kw_only=True, frozen=True):
+    """A partner: its parameters, its number of endpoints, and its share of the traffic."""
 
     name: str
     endpoints: Count = 2
@@ -54,32 +54,32 @@
 
 
 class Fault(Table, frozen=True):
-    """What happens, when, for how long (0: to the end), and on what; without `on` the seed chooses.
+    """A fault: its kind, begin, duration (0: until the end) and target; the seed chooses a missing target.
 
-    `by`: seconds ahead for `clock`, milliseconds for `slow`, a chance for `lossy`.
+    `by` is in seconds ahead for `clock`, in milliseconds for `slow`, and a probability for `lossy`.
     """
 
-    what: What
+    what: FaultKind
     at_s: Annotated[float, Meta(ge=0)]
     for_s: Annotated[float, Meta(ge=0)] = 0.0
     on: str = ""
     by: float = 0.0
 
 
-class NewLayout(Table, frozen=True):
-    """A layout is announced at a sender (`on`, or the seed chooses): all senders but some keep shards."""
+class LayoutTable(Table, frozen=True):
+    """A layout announced at sender `on`, or one that the seed chooses; senders in `drop` keep no shards."""
 
     at_s: Seconds
     drop: list[str] = []
     on: str = ""
-    ahead_s: Above = 2.0  # from then on it is valid
+    ahead_s: Above = 2.0  # from the announcement until the layout takes effect
 
 
-class Read(Table, frozen=True):
-    """Reads of the past: when, of which partners' channels, as of which times of the run, at which senders.
+class ReadTable(Table, frozen=True):
+    """Reads of the event log: when, of which partners' channels, as of which times, and at which senders.
 
-    Without `of` all partners and `fleet`; without `as_of_s` as of the time of reading; without `at` the seed
-    chooses one that no fault hits.
+    The defaults: `of` is all partners and `fleet`, `as_of_s` is the time of the read, and `at` is a sender
+    that the seed chooses among those without a fault.
     """
 
     at_s: Seconds
@@ -90,63 +90,63 @@
 
 
 class Channels(Table, frozen=True):
-    """The channels' log at every sender."""
+    """The event log of the channels, at every sender."""
 
     log: bool = True
     disk_mb: Above = 16.0
     shards: Annotated[int, Meta(ge=1, le=4096)] = 64  # of announced layouts
     keepers: Annotated[int, Meta(ge=1, le=16)] = 2
-    heard_s: Above = 10.0  # behind which a detach must have been heard of
-    settle_s: Above = 60.0  # for the order to settle behind the run
-    layout: list[NewLayout] = []
-    read: list[Read] = []
+    heard_s: Above = 10.0  # by then every sender must know of a detach
+    settle_s: Above = 60.0  # for the order of events to settle after the run
+    layout: list[LayoutTable] = []
+    read: list[ReadTable] = []
 
 
 GRADES = (Grade(name="album-update", effect="retryable"), Grade(name="print-order", effect="fragile"))
 
 
 class Scenario(Table, frozen=True):
-    """A whole file; `rate` in messages a second from all clients together."""
+    """A scenario file; `rate` is in messages per second from all clients together."""
 
     seconds: Above
     senders: Count
     rate: Above
-    partner: Annotated[list[Place], Meta(min_length=1)]
+    partner: Annotated[list[PartnerTable], Meta(min_length=1)]
     grade: Annotated[list[Grade], Meta(min_length=1)] = msgspec.field(default_factory=lambda: list(GRADES))
     fault: list[Fault] = []
     slots: Count = 16
     held: Count = 200
     disk_mb: Above = 4.0
-    wave: Count = 4  # senders that start at once
+    wave: Count = 4  # senders that start concurrently
     notes: bool = False
-    covered: bool = False  # whether what a sender with an emptied folder took must still end
-    spread: Whole = 4  # senders that a client tries, one after the other
-    uneven: Seconds = 0.0  # deviation of the logarithm of a sender's part of the messages
+    covered: bool = False  # whether messages of a sender that lost its disk are still owed a final answer
+    spread: Whole = 4  # senders that a client tries in turn
+    uneven: Seconds = 0.0  # standard deviation of the logarithm of a sender's share of the messages
     channels: Channels | None = None
 
     @property
     def log(self) -> Channels | None:
-        """The log's part, if it is on."""
+        """The settings of the event log, if it is enabled."""
         return self.channels if self.channels is not None and self.channels.log else None
 
     @property
     def channel_names(self) -> dict[str, str]:
-        """Channels by the partner's name."""
-        return {p.name: str(p.dest) for p in self.partner} | {FLEET: FLEET}
+        """The channel of each partner by name, and `fleet`."""
+        return {p.name: str(p.dest) for p in self.partner} | {FLEET_CHANNEL: FLEET_CHANNEL}
 
     @property
     def sender_names(self) -> list[str]:
-        """Of all senders."""
+        """The names of all senders."""
         return [f"s{n}" for n in range(self.senders)]
 
     @property
-    def places(self) -> list[str]:
+    def endpoint_names(self) -> list[str]:
         """The names of all endpoints."""
         return [f"{p.name}-{n}" for p in self.partner for n in range(p.endpoints)]
 
 
 def read(path: Path) -> Scenario:
-    """A scenario. Raises ScenarioError."""
+    """Read a scenario file. Raises ScenarioError."""
     try:
         text = path.read_text(encoding="utf-8")
         return parse(text)
@@ -159,7 +159,7 @@
 
 
 def parse(text: str) -> Scenario:
-    """The same from its text. Raises ScenarioError without the file's name."""
+    """Parse the text of a scenario. Raises ScenarioError without the name of the file."""
     try:
         doc = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -168,14 +168,14 @@
         scenario = msgspec.convert(doc, Scenario)
     except msgspec.ValidationError as error:
         raise ScenarioError(explain(str(error), doc, text)) from None
-    for steps, what in mistakes(scenario):
+    for steps, what in find_errors(scenario):
         line = line_of(text, steps)
         raise ScenarioError(f"{f'line {line}: ' if line else ''}{'.'.join(steps)}: {what}")
     return scenario
 
 
-def mistakes(scenario: Scenario) -> list[tuple[list[str], str]]:
-    """What no single value shows: the key, and what is wrong."""
+def find_errors(scenario: Scenario) -> list[tuple[list[str], str]]:
+    """Find errors that involve several values; returns each key with a message."""
     found: list[tuple[list[str], str]] = []
     for table in ("partner", "grade"):
         names = [one.name for one in getattr(scenario, table)]
@@ -189,56 +189,63 @@
                 found.append((["partner", str(n), key], f"the lower one first, not {[low, high]}"))
         if partner.dest in [p.dest for p in scenario.partner[:n]]:
             found.append((["partner", str(n), "dest"], f"{partner.dest} is another partner's"))
-    senders, places = set(scenario.sender_names), set(scenario.places)
+    senders, endpoint_names = set(scenario.sender_names), set(scenario.endpoint_names)
     for n, fault in enumerate(scenario.fault):
         at: Any = ["fault", str(n)]
         near, _, far = fault.on.partition(">")
-        if fault.what in PLACE:
-            good, kind = fault.on in places, "an endpoint"
-        elif fault.what in LINK and far:
-            good, kind = near in senders | {"clients"} and far in senders | places | {"discovery"}, "a link"
-        elif fault.what in LINK:
-            good, kind = near in senders | places, "an end"
-        elif fault.what == DETACH:
-            good, kind = near in senders and far in places, "a sender>endpoint"
+        if fault.what in ENDPOINT_FAULTS:
+            good, kind = fault.on in endpoint_names, "an endpoint"
+        elif fault.what in LINK_FAULTS and far:
+            good, kind = (
+                near in senders | {"clients"} and far in senders | endpoint_names | {"discovery"},
+                "a link",
+            )
+        elif fault.what in LINK_FAULTS:
+            good, kind = near in senders | endpoint_names, "an end"
+        elif fault.what == DETACH_FAULT:
+            good, kind = near in senders and far in endpoint_names, "a sender>endpoint"
         else:
             good, kind = fault.on in senders, "a sender"
         if fault.on and not good:
             found.append(([*at, "on"], f"no such {kind.split()[1]}: {fault.on!r}"))
         if fault.at_s > scenario.seconds:
             found.append(([*at, "at_s"], f"past the end ({scenario.seconds:g} s), not {fault.at_s:g}"))
-        if fault.what == DETACH and scenario.log is None:
+        if fault.what == DETACH_FAULT and scenario.log is None:
             found.append(([*at, "what"], "needs [channels]: nobody else would hear of it"))
     if scenario.channels is not None:
-        found += channel_mistakes(scenario, scenario.channels)
+        found += find_channel_errors(scenario, scenario.channels)
     if scenario.notes and scenario.senders > 64:
         found.append((["notes"], "not among more than 64 senders"))
     return found
 
 
-def channel_mistakes(scenario: Scenario, channels: Channels) -> list[tuple[list[str], str]]:
-    """The same for the log's part."""
+def find_channel_errors(scenario: Scenario, channels: Channels) -> list[tuple[list[str], str]]:
+    """Find such errors in the table of the event log."""
     found: list[tuple[list[str], str]] = []
     senders = set(scenario.sender_names)
-    parts: list[tuple[str, Sequence[NewLayout | Read]]] = [
+    parts: list[tuple[str, Sequence[LayoutTable | ReadTable]]] = [
         ("layout", channels.layout),
         ("read", channels.read),
     ]
-    for part, ones in parts:
-        for n, one in enumerate(ones):
+    for part, tables in parts:
+        for n, table in enumerate(tables):
             at = ["channels", part, str(n)]
-            if one.at_s > scenario.seconds:
-                found.append(([*at, "at_s"], f"past the end ({scenario.seconds:g} s), not {one.at_s:g}"))
-            named = {"drop": one.drop, "on": [one.on] if one.on else []} if isinstance(one, NewLayout) else {}
-            named |= {"at": one.at} if isinstance(one, Read) else {}
+            if table.at_s > scenario.seconds:
+                found.append(([*at, "at_s"], f"past the end ({scenario.seconds:g} s), not {table.at_s:g}"))
+            named = (
+                {"drop": table.drop, "on": [table.on] if table.on else []}
+                if isinstance(table, LayoutTable)
+                else {}
+            )
+            named |= {"at": table.at} if isinstance(table, ReadTable) else {}
             for key, names in named.items():
                 if unknown := [name for name in names if name not in senders]:
                     found.append(([*at, key], f"no such sender: {unknown[0]!r}"))
-            if isinstance(one, NewLayout) and senders <= set(one.drop):
+            if isinstance(table, LayoutTable) and senders <= set(table.drop):
                 found.append(([*at, "drop"], "somebody must keep what there is"))
-            if isinstance(one, Read):
-                if unknown := [name for name in one.of if name not in scenario.channel_names]:
+            if isinstance(table, ReadTable):
+                if unknown := [name for name in table.of if name not in scenario.channel_names]:
                     found.append(([*at, "of"], f"no such partner: {unknown[0]!r}"))
-                if late := [t for t in one.as_of_s if t > one.at_s]:
-                    found.append(([*at, "as_of_s"], f"not past yet at {one.at_s:g} s: {late[0]:g}"))
+                if late := [t for t in table.as_of_s if t > table.at_s]:
+                    found.append(([*at, "as_of_s"], f"not past yet at {table.at_s:g} s: {late[0]:g}"))
     return found
--- a/rowanrack/lab/skewed.py
+++ b/rowanrack/lab/skewed.py
@@ -1,6 +1,7 @@
-"""A sender whose clock of the day is off: `python -m rowanrack.lab.skewed FILE serve --config ...`.
+"""Runs a sender with a skewed wall clock: `python -m rowanrack.lab.skewed FILE serve --config ...`.
 
-The file's first 8 bytes are the offset in microseconds, little-endian and signed; it may change at any time.
+The first 8 bytes of the file are the offset in microseconds, little-endian and signed. It may change at any
+time.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 
 
 def write(path: Path, offset_us: int) -> None:
-    """Set the offset; a running sender sees it at once."""
+    """Set the offset of the clock; it takes effect at once in a running sender."""
     with path.open("r+b" if path.exists() else "w+b") as file:
         file.write(OFFSET.pack(offset_us))
 
 
 def skew(path: Path) -> None:
-    """Let `time.time` and `time.time_ns` of this process follow the file."""
+    """Make `time.time` and `time.time_ns` of this process apply the offset in the file."""
     with path.open("rb") as file:
-        seen = mmap.mmap(file.fileno(), OFFSET.size, access=mmap.ACCESS_READ)
+        mapped_offset = mmap.mmap(file.fileno(), OFFSET.size, access=mmap.ACCESS_READ)
     true_ns = time.time_ns
 
     def time_ns() -> int:
-        offset: int = OFFSET.unpack_from(seen)[0]
+        offset: int = OFFSET.unpack_from(mapped_offset)[0]
         return true_ns() + 1000 * offset
 
     time.time_ns = time_ns
--- a/rowanrack/lab/stand_in.py
+++ b/rowanrack/lab/stand_in.py
@@ -1,4 +1,4 @@
-"""What stand-ins are made of: an HTTP server that answers as it is told, and a client."""
+"""Building blocks of stand-ins: an HTTP server with configurable answers, and a client."""
 
 from __future__ import annotations
 
@@ -15,57 +15,57 @@
 
 
 def reserve(kind: int = socket.SOCK_STREAM) -> socket.socket:
-    """A port that nobody else gets while this socket is open; a listener with SO_REUSEADDR may take it."""
-    held = socket.socket(socket.AF_INET, kind)
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.bind(("127.0.0.1", 0))
-    return held
+    """Reserve a port while the returned socket is open; a listener with SO_REUSEADDR may bind it."""
+    reserved = socket.socket(socket.AF_INET, kind)
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", 0))
+    return reserved
 
 
 def peer_of(stream: Stream) -> str:
-    """The host that a connection comes from."""
+    """Return the source host of a connection."""
     with socket.socket(fileno=os.dup(stream.descriptor)) as sock:
         return str(sock.getpeername()[0])
 
 
 def sender_address(number: int) -> str:
-    """The loopback address that a sender's links come from, so that stand-ins know who calls."""
+    """Return the source address of a sender's links, by which stand-ins identify the caller."""
     return f"127.1.{number // 250}.{number % 250 + 1}"
 
 
 class HttpServer:
-    """A server on loopback; a subclass says what is answered. An answer of None breaks the connection."""
+    """A server on loopback; subclasses implement `answer`. An answer of None breaks the connection."""
 
     def __init__(self) -> None:
         self.port, self.tasks, self.streams = 0, set[asyncio.Task[None]](), set[Stream]()
         self.server: asyncio.Server | None = None
-        self.connections = 0  # so far
-        self._held: socket.socket | None = None  # keeps the port while nobody listens
+        self.connections = 0  # accepted so far
+        self._reserved_socket: socket.socket | None = None  # keeps the port while the server is closed
 
     async def answer(self, request: Request, peer: str) -> Reply | None:
         """What a request gets."""
         raise NotImplementedError
 
-    def broke_off(self) -> None:
-        """A connection has been broken from here."""
+    def connection_broken(self) -> None:
+        """Called after this server has broken a connection."""
 
     async def open(self) -> None:
-        """Listen, on the same port as before if there was one."""
+        """Listen, on the previous port if there was one."""
         loop, accept = asyncio.get_running_loop(), lambda: stream_protocol(self._accept, 1 << 20)
-        if self._held is None and not self.port:
-            self._held = reserve()
-            self.port = self._held.getsockname()[1]
+        if self._reserved_socket is None and not self.port:
+            self._reserved_socket = reserve()
+            self.port = self._reserved_socket.getsockname()[1]
         self.server = await loop.create_server(accept, "127.0.0.1", self.port)
 
     def close(self) -> None:
-        """Listen no more, and give the port back; what is open stays."""
-        for one in (self.server, self._held):
-            if one is not None:
-                one.close()
-        self.server = self._held = None
+        """Stop listening and release the port; open connections stay."""
+        for listener in (self.server, self._reserved_socket):
+            if listener is not None:
+                listener.close()
+        self.server = self._reserved_socket = None
 
     def shut(self) -> None:
-        """Listen no more, and reset what is open."""
+        """Stop listening and reset open connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -98,34 +98,34 @@
                 task.cancel()
             await asyncio.wait({answering, ending})
             if reply is None:
-                self.broke_off()
+                self.connection_broken()
                 stream.abort()
                 return
             more = await served.answer(reply)
 
 
 def resp(*words: str | bytes) -> bytes:
-    """A command as RESP2 writes it."""
-    raw = [w.encode() if isinstance(w, str) else w for w in words]
-    parts = [f"*{len(raw)}\r\n".encode(), *(b"$%d\r\n%s\r\n" % (len(w), w) for w in raw)]
+    """Encode a command in RESP2."""
+    raw = [word.encode() if isinstance(word, str) else word for word in words]
+    parts = [f"*{len(raw)}\r\n".encode(), *(b"$%d\r\n%s\r\n" % (len(word), word) for word in raw)]
     return b"".join(parts)
 
 
 class Client:
-    """A client on the platform's port."""
+    """A client of a sender's platform port."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
 
     async def raw(self, data: bytes) -> bytes:
-        """Write bytes, and return what comes until a line is whole or the connection ends."""
+        """Send bytes, and return what arrives until a line is complete or the connection ends."""
         await self.stream.send(data)
         while b"\n" not in self.stream.inward.peek(1 << 16) and await self.stream.fill():
             pass
         return self.stream.inward.read(1 << 16)
 
     async def command(self, *words: str | bytes) -> bytes:
-        """One command and its answer."""
+        """Send a command and return its answer."""
         return await self.raw(resp(*words))
 
     async def submit(
@@ -137,6 +137,6 @@
         body: bytes = b"x",
         key: str = "",
     ) -> bytes:
-        """Hand a message in."""
+        """Submit a message."""
         keyed = f",k={key}" if key else ""
         return await self.command("SUBMIT", "0", message_id, f"c={cls},t=a,d={d},dest={dest}{keyed}", body)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -106,7 +106,7 @@
     async def __aexit__(self, *_: object) -> None:
         self.close()
 
-    def broke_off(self) -> None:
+    def connection_broken(self) -> None:
         """Note that this server has aborted a connection."""
         self.closed.set()
 
--- a/tests/test_channels_fleet.py
+++ b/tests/test_channels_fleet.py
@@ -13,12 +13,12 @@
 
 from rowanrack.channels.events import Event
 from rowanrack.channels.layout import Layouts
-from rowanrack.lab.fleet import Figures, Fleet, Partner, Sender
+from rowanrack.lab.fleet import Fleet, Partner, PartnerParameters, Sender
 from rowanrack.store.log_sqlite import SqliteLog
 from tests.rig import on_loop
 
 COUNT = 8
-SHOP = Partner("shop", Figures(dest=1, rate=80.0), endpoints=2)
+SHOP = Partner("shop", PartnerParameters(dest=1, rate=80.0), endpoints=2)
 NAMES = [f"s{n}" for n in range(COUNT)]
 KEEPERS = Layouts(NAMES).at(0).keepers(Layouts(NAMES).at(0).shard("1"))
 OTHERS = [name for name in NAMES if name not in KEEPERS]
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -25,7 +25,7 @@
 
 from rowanrack.lab.books import Entry, now_us
 from rowanrack.lab.checker import Checker
-from rowanrack.lab.fleet import Figures, Fleet, Partner, settings
+from rowanrack.lab.fleet import Fleet, Partner, PartnerParameters, settings
 from rowanrack.lab.scenario import Grade
 from rowanrack.store.outages import OutageFile
 from rowanspindle import Outage
@@ -37,7 +37,7 @@
 FIRST_CALLS_US = SECOND_US // 2  # in which a started sender has called for what it owes
 # Longer than forty processes need to start on a busy machine: what they knew is believed.
 RAMP_US = 30 * SECOND_US
-SHOP = Figures(
+SHOP = PartnerParameters(
     dest=1, rate=1.0, cold_share=0.4, overload=5.0, fall_ms=FALL_US // 1000, ramp_ms=RAMP_US // 1000
 )
 PATIENT = Grade(name="album-update", effect="retryable", deadline_ms=60_000)
@@ -104,7 +104,7 @@
     async with restarted_in_an_outage(tmp_path / "fleet") as (fleet, killed_us):
         started_us = now_us()
         entries = await fleet.wait_for_entries(lambda entries: now_us() > started_us + FALL_US)
-    bears = SHOP.bears(1)
+    bears = SHOP.cold_call_limit(1)
     assert densest(entries, killed_us) <= bears + 3 * math.sqrt(bears) + 3
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,19 +22,19 @@
 
 from rowanrack.config import ConfigError, operator_config
 from rowanrack.lab import skewed
-from rowanrack.lab.__main__ import BAD_INPUT, NOT_PLAYED, bounded, main
+from rowanrack.lab.__main__ import EXIT_BAD_INPUT, EXIT_NOT_COMPLETED, main, play_with_time_limit
 from rowanrack.lab.books import Entry, Page
 from rowanrack.lab.books import read as books
 from rowanrack.lab.checker import Checker, summarize_run
 from rowanrack.lab.figures import log_statistics, traffic_statistics
-from rowanrack.lab.fleet import Figures, Fleet, Partner
+from rowanrack.lab.fleet import Fleet, Partner, PartnerParameters
 from rowanrack.lab.links import Relays, UdpLink
 from rowanrack.lab.log_rules import LogChecker
-from rowanrack.lab.plan import make
+from rowanrack.lab.plan import make_plan
 from rowanrack.lab.scenario import SCENARIOS, parse, read
 from tests.rig import on_loop
 
-SHOP = Partner("shop", Figures(dest=1, rate=60.0), endpoints=2)
+SHOP = Partner("shop", PartnerParameters(dest=1, rate=60.0), endpoints=2)
 
 
 class Echo(asyncio.Protocol):
@@ -279,17 +279,17 @@
 
 def test_a_seed_gives_one_plan() -> None:
     code = "import msgspec, rowanrack.lab.plan as p, rowanrack.lab.scenario as s, sys; "
-    code += "sys.stdout.buffer.write(msgspec.json.encode(p.make(s.read(s.SCENARIOS / 'small.toml'), 7)))"
+    code += "sys.stdout.buffer.write(msgspec.json.encode(p.make_plan(s.read(s.SCENARIOS / 'small.toml'), 7)))"
     told = [
         subprocess.run([sys.executable, "-c", code], env=os.environ | {"PYTHONHASHSEED": h}, stdout=-1).stdout
         for h in ("1", "2")
     ]
     scenario = read(SCENARIOS / "small.toml")
-    assert told[0] == told[1] == msgspec.json.encode(make(scenario, 7))
-    assert make(scenario, 7) != make(scenario, 8)
+    assert told[0] == told[1] == msgspec.json.encode(make_plan(scenario, 7))
+    assert make_plan(scenario, 7) != make_plan(scenario, 8)
     for path in SCENARIOS.glob("*.toml"):
-        assert make(read(path), 1).arrivals
-    first = Counter(arrival.order[0] for arrival in make(read(SCENARIOS / "spread200.toml"), 1).arrivals)
+        assert make_plan(read(path), 1).arrivals
+    first = Counter(arrival.order[0] for arrival in make_plan(read(SCENARIOS / "spread200.toml"), 1).arrivals)
     assert max(first.values()) > 4 * first.total() / 200  # callers are uneven
 
 
@@ -338,7 +338,7 @@
     path = tmp_path / "own.toml"
     path.write_text(text)
     ran = CliRunner().invoke(main, [str(path)])
-    assert ran.exit_code == BAD_INPUT
+    assert ran.exit_code == EXIT_BAD_INPUT
     assert ran.output.startswith(f"rowanrack.lab: {path}: {said}") and ran.output.count("\n") == 1
 
 
@@ -487,7 +487,7 @@
 
 def test_the_log_scenario_keeps_the_rules_and_shows_its_figures(tmp_path: Path) -> None:
     scenario = read(SCENARIOS / "log.toml")
-    result = asyncio.run(bounded(scenario, make(scenario, 1), tmp_path, 1))
+    result = asyncio.run(play_with_time_limit(scenario, make_plan(scenario, 1), tmp_path, 1))
     assert result["rules"] == "kept", result["breaches"]
     log = result["log"]
     assert log["by_kind"]["layout"] == log["by_kind"]["detached"] == 1
@@ -532,7 +532,7 @@
     tmp_path: Path,
 ) -> None:
     scenario = parse(HURT)
-    result = asyncio.run(bounded(scenario, make(scenario, 3), tmp_path, 3))
+    result = asyncio.run(play_with_time_limit(scenario, make_plan(scenario, 3), tmp_path, 3))
     assert result["rules"] == "kept", result["breaches"]
     entries = books(tmp_path / "fleet" / "books")
     seen = {(e.what, e.who, e.note) for e in entries if e.what in ("down", "up", "fault", "over")}
@@ -553,7 +553,7 @@
     assert started_for(keep)
     lab.send_signal(signal.SIGTERM)
     _, said = lab.communicate(timeout=20)
-    assert lab.returncode == NOT_PLAYED and b"ended by a signal" in said
+    assert lab.returncode == EXIT_NOT_COMPLETED and b"ended by a signal" in said
     assert not started_for(keep)
 
 
