--- a/rowanrack/lab/scenario.py
+++ b/rowanrack/lab/scenario.py
@@ -153,7 +153,7 @@
     except OSError as error:
         raise ScenarioError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise ScenarioError(f"{path}: no UTF-8") from None
+        raise ScenarioError(f"{path}: not valid UTF-8") from None
     except ScenarioError as error:
         raise ScenarioError(f"{path}: {error}") from None
 
@@ -163,7 +163,7 @@
     try:
         doc = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ScenarioError(f"no TOML: {error}") from None
+        raise ScenarioError(f"invalid TOML: {error}") from None
     try:
         scenario = msgspec.convert(doc, Scenario)
     except msgspec.ValidationError as error:
@@ -181,12 +181,17 @@
         names = [one.name for one in getattr(scenario, table)]
         for n, name in enumerate(names):
             if not name.replace("-", "").isalnum() or name in names[:n]:
-                found.append(([table, str(n), "name"], f"letters and digits, each once, not {name!r}"))
+                found.append(
+                    (
+                        [table, str(n), "name"],
+                        f"expected a unique name of letters, digits and hyphens, got {name!r}",
+                    )
+                )
     for n, partner in enumerate(scenario.partner):
         for key in ("wait_ms", "service_ms"):
             low, high = getattr(partner, key)
             if not 0 <= low <= high:
-                found.append((["partner", str(n), key], f"the lower one first, not {[low, high]}"))
+                found.append((["partner", str(n), key], f"expected the lower value first, got {[low, high]}"))
         if partner.dest in [p.dest for p in scenario.partner[:n]]:
             found.append((["partner", str(n), "dest"], f"{partner.dest} is another partner's"))
     senders, endpoint_names = set(scenario.sender_names), set(scenario.endpoint_names)
@@ -209,13 +214,15 @@
         if fault.on and not good:
             found.append(([*at, "on"], f"no such {kind.split()[1]}: {fault.on!r}"))
         if fault.at_s > scenario.seconds:
-            found.append(([*at, "at_s"], f"past the end ({scenario.seconds:g} s), not {fault.at_s:g}"))
+            found.append(
+                ([*at, "at_s"], f"after the end of the run ({scenario.seconds:g} s): {fault.at_s:g}")
+            )
         if fault.what == DETACH_FAULT and scenario.log is None:
-            found.append(([*at, "what"], "needs [channels]: nobody else would hear of it"))
+            found.append(([*at, "what"], "needs [channels], or no other sender learns of it"))
     if scenario.channels is not None:
         found += find_channel_errors(scenario, scenario.channels)
     if scenario.notes and scenario.senders > 64:
-        found.append((["notes"], "not among more than 64 senders"))
+        found.append((["notes"], "supported for at most 64 senders"))
     return found
 
 
@@ -231,7 +238,9 @@
         for n, table in enumerate(tables):
             at = ["channels", part, str(n)]
             if table.at_s > scenario.seconds:
-                found.append(([*at, "at_s"], f"past the end ({scenario.seconds:g} s), not {table.at_s:g}"))
+                found.append(
+                    ([*at, "at_s"], f"after the end of the run ({scenario.seconds:g} s): {table.at_s:g}")
+                )
             named = (
                 {"drop": table.drop, "on": [table.on] if table.on else []}
                 if isinstance(table, LayoutTable)
@@ -242,10 +251,10 @@
                 if unknown := [name for name in names if name not in senders]:
                     found.append(([*at, key], f"no such sender: {unknown[0]!r}"))
             if isinstance(table, LayoutTable) and senders <= set(table.drop):
-                found.append(([*at, "drop"], "somebody must keep what there is"))
+                found.append(([*at, "drop"], "at least one sender must keep shards"))
             if isinstance(table, ReadTable):
                 if unknown := [name for name in table.of if name not in scenario.channel_names]:
                     found.append(([*at, "of"], f"no such partner: {unknown[0]!r}"))
                 if late := [t for t in table.as_of_s if t > table.at_s]:
-                    found.append(([*at, "as_of_s"], f"not past yet at {table.at_s:g} s: {late[0]:g}"))
+                    found.append(([*at, "as_of_s"], f"later than the read at {table.at_s:g} s: {late[0]:g}"))
     return found
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: its links' faults, its plan, its checker against broken books, and a small fleet that is hurt."""
+"""Tests of the lab: link faults, plans, the checker on faulty books, and a small fleet with faults."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Echo(asyncio.Protocol):
-    """Keeps what comes, and sends it back."""
+    """Stores received bytes and echoes them."""
 
     def __init__(self) -> None:
         self.got = bytearray()
@@ -53,7 +53,7 @@
 
 @asynccontextmanager
 async def tcp() -> AsyncIterator[tuple[Relays, int, Echo]]:
-    """Relays, the near port of a link `a`, and what is behind it."""
+    """Yield relays, the near port of a link `a`, and the server at its far end."""
     relays, echo = Relays(), Echo()
     server = await asyncio.get_running_loop().create_server(lambda: echo, "127.0.0.1", 0)
     port, _ = await relays.open("a", ["127.0.0.1", server.sockets[0].getsockname()[1]], "far")
@@ -67,11 +67,11 @@
 
 
 CUT, HEAL = (("cut", {"names": ["a"], "cut": cut}) for cut in (True, False))
-DOWN, RISEN = (("down", {"far": "far", "down": down}) for down in (True, False))
+DOWN, UP = (("down", {"far": "far", "down": down}) for down in (True, False))
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for what no event tells."""
+    """Poll until the condition holds."""
     while not condition():
         await asyncio.sleep(0.005)
 
@@ -86,14 +86,14 @@
         ((fault("there", stall=True),), (fault(stall=False),), b"hello", b"hello", 0.0),
         ((fault("there", cut_at=4),), (), b"hel", None, 0.0),
         ((CUT,), (HEAL,), b"", None, 0.0),
-        ((DOWN,), (RISEN,), b"", None, 0.0),
+        ((DOWN,), (UP,), b"", None, 0.0),
     ],
 )
 @on_loop
-async def test_tcp_links_fail_as_told(
+async def test_tcp_links_inject_the_faults_that_are_set(
     before: Any, then: Any, arrives: bytes, comes: bytes | None, least_s: float
 ) -> None:
-    """`comes` None: the connection ends; afterwards a new one works, on the same port."""
+    """With `comes` None the connection ends, and a new one on the same port works afterwards."""
     async with tcp() as (relays, port, echo):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"!")
@@ -141,11 +141,12 @@
     ],
 )
 @on_loop
-async def test_udp_links_fail_as_told(
+async def test_udp_links_inject_the_faults_that_are_set(
     faults: dict[str, Any], comes: list[bytes], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two datagrams under the fault, and one once it is lifted."""
-    monkeypatch.setattr("rowanrack.lab.links.REORDER_DELAY_S", 0.7)  # a busy machine sends the third by then
+    """Send two datagrams during the fault and one after it."""
+    # Even a busy machine sends the third datagram within this delay.
+    monkeypatch.setattr("rowanrack.lab.links.REORDER_DELAY_S", 0.7)
     got, relays, loop = list[bytes](), Relays(), asyncio.get_running_loop()
 
     class Far(asyncio.DatagramProtocol):
@@ -155,7 +156,7 @@
     far, _ = await loop.create_datagram_endpoint(Far, ("127.0.0.1", 0))
     to = list(far.get_extra_info("sockname"))
     port, seen_from = await relays.open("a", to, kind="udp", hub="h")
-    assert (await relays.open("b", to, kind="udp", hub="h"))[0] == port  # one datagram to all of a hub
+    assert (await relays.open("b", to, kind="udp", hub="h"))[0] == port  # links of a hub share a near port
     await relays.execute("cut", {"names": ["b"], "cut": True})
     link = relays.links["a"]
     assert isinstance(link, UdpLink)
@@ -175,24 +176,24 @@
     return Entry(1000 * at_ms, what, who, message, place, 1 if place else -1, **more)
 
 
-def handed_in(message: str, cls: str = "once") -> list[Entry]:
+def submitted_entries(message: str, cls: str = "once") -> list[Entry]:
     return [e(0, "submit", "", message, note=cls), e(1, "taken", "s0", message, value=5_000_000, note=cls)]
 
 
-def called(at_ms: int, message: str, note: str = "200", **more: Any) -> list[Entry]:
+def call_entries(at_ms: int, message: str, note: str = "200", **more: Any) -> list[Entry]:
     answer = e(at_ms + 1, "answer", "s0", message, "p-0", note=note, **more)
     ran = [e(at_ms, "ran", "s0", message, "p-0")] if note == "200" else []
     return [e(at_ms, "call", "s0", message, "p-0"), *ran, answer]
 
 
 GOOD = [
-    *(entry for name in ("a", "b", "c", "d") for entry in handed_in(name)),
-    *called(20, "a"),
-    *called(100, "b", "429", value=800_000),
+    *(entry for name in ("a", "b", "c", "d") for entry in submitted_entries(name)),
+    *call_entries(20, "a"),
+    *call_entries(100, "b", "429", value=800_000),
     e(950, "told", "s0", place="p-0", note="DRAINING"),
-    *called(1100, "b"),
+    *call_entries(1100, "b"),
     e(2000, "told", "s0", place="p-0", note="SERVING"),
-    *called(2100, "c"),
+    *call_entries(2100, "c"),
     e(2200, "notice", "s0", "d", note="given_up"),
 ]
 KILLED = [e(300, "down", "s0", note="kill"), e(400, "up", "s0")]
@@ -201,33 +202,49 @@
 @pytest.mark.parametrize(
     ("rule", "more", "excuse"),
     [
-        ("lost", handed_in("x"), [e(200, "empty", "s0")]),
-        ("late", handed_in("x") + called(7000, "x"), [e(5000, "down", "s0"), e(6000, "up", "s0")]),
-        ("repeat", called(3000, "a"), None),
+        ("lost", submitted_entries("x"), [e(200, "empty", "s0")]),
+        (
+            "late",
+            submitted_entries("x") + call_entries(7000, "x"),
+            [e(5000, "down", "s0"), e(6000, "up", "s0")],
+        ),
+        ("repeat", call_entries(3000, "a"), None),
         (
             "repeat",
-            [*handed_in("x"), *called(2999, "x"), e(3000, "notice", "s0", "x", note="handed_back")],
+            [
+                *submitted_entries("x"),
+                *call_entries(2999, "x"),
+                e(3000, "notice", "s0", "x", note="handed_back"),
+            ],
             None,
         ),
         ("end", [e(2300, "notice", "s0", "d", note="handed_back")], None),
-        ("end", called(3000, "d"), [e(2250, "fault", "s0", note="link"), e(2900, "over", "s0", note="link")]),
+        (
+            "end",
+            call_entries(3000, "d"),
+            [e(2250, "fault", "s0", note="link"), e(2900, "over", "s0", note="link")],
+        ),
         ("end", [e(3000, "notice", "s0", "c", note="given_up")], [e(2099, "fault", "s0", note="link")]),
         ("end", [e(3000, "notice", "s0", "c", note="given_up")], [e(2099, "fault", "p-0", note="link")]),
-        ("wait", [*handed_in("x"), *called(500, "x")], KILLED),
-        ("wait", [*handed_in("x"), *called(500, "x")], [e(99, "fault", "p-0", note="link")]),
-        ("drain", [*handed_in("x"), *called(1600, "x")], [e(960, "down", "s0"), e(1500, "up", "s0")]),
+        ("wait", [*submitted_entries("x"), *call_entries(500, "x")], KILLED),
+        ("wait", [*submitted_entries("x"), *call_entries(500, "x")], [e(99, "fault", "p-0", note="link")]),
+        (
+            "drain",
+            [*submitted_entries("x"), *call_entries(1600, "x")],
+            [e(960, "down", "s0"), e(1500, "up", "s0")],
+        ),
         ("owner", [e(2500, "call", "s0", "x", "p-0")], None),
         ("answer", [e(2500, "bad", "s0", "a")], None),
         ("cold", [e(2050, "state", place="p-0", note="up", value=0)], None),
     ],
 )
-def test_the_checker_catches_each_broken_rule_and_no_other(
+def test_checker_reports_exactly_the_rule_that_is_broken(
     rule: str, more: list[Entry], excuse: list[Entry] | None
 ) -> None:
-    """`excuse`: what makes a good book of it again."""
-    if rule == "cold":  # three by chance are none too many
+    """`excuse` holds entries with which the checker must report no violation."""
+    if rule == "cold":  # three extra calls are allowed for chance
         for number in range(3):
-            more = more + handed_in(f"x{number}", "safe") + called(2300 + number, f"x{number}")
+            more = more + submitted_entries(f"x{number}", "safe") + call_entries(2300 + number, f"x{number}")
 
     def broken(entries: list[Entry]) -> set[str]:
         ordered = sorted(entries, key=lambda entry: entry.at)
@@ -241,13 +258,13 @@
         assert broken(GOOD + more + excuse) == set()
 
 
-def test_the_books_tell_how_even_calls_were() -> None:
+def test_summary_reports_the_evenness_of_calls() -> None:
     entries = [*GOOD, e(1000, "submit", "", "y", note="once")]
     found = summarize_run(sorted(entries, key=lambda entry: entry.at))["evenness"]["p-0"]
     assert found == {"calls_per_s": 2.0, "peak_over_mean": 5.0, "least_over_mean": 0.0}
 
 
-def test_the_books_tell_of_spread_herds_idle_endpoints_and_ends() -> None:
+def test_statistics_report_spread_bursts_idle_times_and_outcomes() -> None:
     def calls(at_ms: int, place: str, count: int, took_ms: int = 10) -> list[Entry]:
         found = []
         for n in range(count):
@@ -277,7 +294,7 @@
     assert found["endings"] == {"delivered": 1, "given_up": 1, "none told": 1}
 
 
-def test_a_seed_gives_one_plan() -> None:
+def test_a_seed_always_gives_the_same_plan() -> None:
     code = "import msgspec, rowanrack.lab.plan as p, rowanrack.lab.scenario as s, sys; "
     code += "sys.stdout.buffer.write(msgspec.json.encode(p.make_plan(s.read(s.SCENARIOS / 'small.toml'), 7)))"
     told = [
@@ -290,7 +307,7 @@
     for path in SCENARIOS.glob("*.toml"):
         assert make_plan(read(path), 1).arrivals
     first = Counter(arrival.order[0] for arrival in make_plan(read(SCENARIOS / "spread200.toml"), 1).arrivals)
-    assert max(first.values()) > 4 * first.total() / 200  # callers are uneven
+    assert max(first.values()) > 4 * first.total() / 200  # senders get uneven shares
 
 
 PARTNER = '[[partner]]\nname = "shop"\ndest = 1\n'
@@ -298,17 +315,20 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
-        ("seconds = ", "no TOML"),
+        ("seconds = ", "invalid TOML"),
         (HEAD, "partner is missing"),
         (HEAD + "colour = 3\n" + PARTNER, "line 4: colour: unknown key"),
         (HEAD.replace("2\n", "0\n") + PARTNER, "line 2: senders: expected int >= 1 (0)"),
-        (HEAD + PARTNER + "wait_ms = [9, 3]", "line 7: partner.0.wait_ms: the lower one first, not [9, 3]"),
+        (HEAD + PARTNER + "wait_ms = [9, 3]",
+         "line 7: partner.0.wait_ms: expected the lower value first, got [9, 3]"),
         (HEAD + PARTNER + PARTNER.replace("shop", "lab"), "line 9: partner.1.dest: 1 is another partner's"),
-        (HEAD + PARTNER + PARTNER, "line 8: partner.1.name: letters and digits, each once, not 'shop'"),
+        (HEAD + PARTNER + PARTNER,
+         "line 8: partner.1.name: expected a unique name of letters, digits and hyphens, got 'shop'"),
         (HEAD + PARTNER + '[[fault]]\nwhat = "eat"\nat_s = 1.0', "line 8: fault.0.what: invalid enum value"),
-        (HEAD + PARTNER + '[[fault]]\nwhat = "kill"\nat_s = 3.0', "line 9: fault.0.at_s: past the end (2 s)"),
+        (HEAD + PARTNER + '[[fault]]\nwhat = "kill"\nat_s = 3.0',
+         "line 9: fault.0.at_s: after the end of the run (2 s)"),
         *(
             (HEAD + PARTNER + f'[[fault]]\nat_s = 1.0\non = "{on}"\nwhat = "{what}"', f"line 9: {no}: {on!r}")
             for what, on, no in (
@@ -319,30 +339,37 @@
             )
         ),
         *(
-            (HEAD + PARTNER + f"[channels]\n{text}", f"line {line}: channels.{said}")
-            for text, line, said in (
+            (HEAD + PARTNER + f"[channels]\n{text}", f"line {line}: channels.{expected}")
+            for text, line, expected in (
                 ("keepers = 0", 8, "keepers: expected int >= 1 (0)"),
                 ("shard = 3", 8, "shard: unknown key"),
                 ('[[channels.layout]]\nat_s = 1.0\ndrop = ["s2"]', 10, "layout.0.drop: no such sender: 's2'"),
-                ('[[channels.layout]]\nat_s = 3.0', 9, "layout.0.at_s: past the end (2 s), not 3"),
-                ('[[channels.layout]]\nat_s = 1\ndrop = ["s0", "s1"]', 10, "layout.0.drop: somebody"),
+                ('[[channels.layout]]\nat_s = 3.0', 9, "layout.0.at_s: after the end of the run (2 s): 3"),
+                ('[[channels.layout]]\nat_s = 1\ndrop = ["s0", "s1"]', 10,
+                 "layout.0.drop: at least one sender"),
                 ('[[channels.read]]\nat_s = 1.0\nof = ["lab"]', 10, "read.0.of: no such partner: 'lab'"),
-                ("[[channels.read]]\nat_s = 1.0\nas_of_s = [1.5]", 10, "read.0.as_of_s: not past yet at 1 s"),
+                ("[[channels.read]]\nat_s = 1.0\nas_of_s = [1.5]", 10,
+                 "read.0.as_of_s: later than the read at 1 s"),
             )
         ),
         (HEAD + PARTNER + '[[fault]]\nat_s = 1.0\nwhat = "detach"', "line 9: fault.0.what: needs [channels]"),
-        (HEAD.replace("= 2\n", "= 65\n") + "notes = true\n" + PARTNER, "line 4: notes: not among more than"),
+        (HEAD.replace("= 2\n", "= 65\n") + "notes = true\n" + PARTNER,
+         "line 4: notes: supported for at most"),
     ],
 )  # fmt: skip
-def test_a_bad_scenario_gets_one_line_with_file_line_and_key(text: str, said: str, tmp_path: Path) -> None:
+def test_an_invalid_scenario_is_reported_in_one_line_with_file_line_and_key(
+    text: str, expected: str, tmp_path: Path
+) -> None:
     path = tmp_path / "own.toml"
     path.write_text(text)
     ran = CliRunner().invoke(main, [str(path)])
     assert ran.exit_code == EXIT_BAD_INPUT
-    assert ran.output.startswith(f"rowanrack.lab: {path}: {said}") and ran.output.count("\n") == 1
+    assert ran.output.startswith(f"rowanrack.lab: {path}: {expected}") and ran.output.count("\n") == 1
 
 
-def test_a_skewed_clock_follows_its_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_skewed_clock_applies_the_offset_in_its_file(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     true = time.time
     for name in ("time", "time_ns"):
         monkeypatch.setattr(time, name, getattr(time, name))
@@ -355,7 +382,7 @@
 
 
 @on_loop
-async def test_a_fleet_starts_is_hurt_and_serves_again(tmp_path: Path) -> None:
+async def test_a_fleet_recovers_from_a_kill_a_lost_disk_and_a_full_disk(tmp_path: Path) -> None:
     async with Fleet(tmp_path / "f", 2, [SHOP], notes=True, mesh=("channel",), skewed_clocks=True) as fleet:
         one = fleet.senders["s0"]
         assert await one.mgmt("GET", "/_ready") == (200, b"ready\n")
@@ -372,42 +399,42 @@
         assert "; 0 messages owed" in await one.wait_for_log_line("serving")
         one.fill_disk()
         number, ready = 3, 200
-        while ready == 200 and number < 300:  # the journal has some room that the disk gave before
+        while ready == 200 and number < 300:  # the journal has preallocated space to use up first
             number += 1
             await fleet.submit("s0", f"m{number}", "print-order", 1)
             ready, _ = await one.mgmt("GET", "/_ready")
         assert ready == 503
         assert (await fleet.submit("s0", "m300", "print-order", 1)).startswith("-BUSY")
         one.free_disk()
-        while (await one.mgmt("GET", "/_ready"))[0] != 200:  # it looks again by itself
+        while (await one.mgmt("GET", "/_ready"))[0] != 200:  # the sender rechecks the disk by itself
             pass
-        while (await fleet.submit("s0", "m300", "print-order", 1)) != "+OK":  # BUSY while the core is full
+        while (await fleet.submit("s0", "m300", "print-order", 1)) != "+OK":  # BUSY while the sender is full
             pass
         children = [sender.child for sender in fleet.senders.values()]
     assert all(child is not None and child.poll() is not None for child in children)
 
 
-UNIX = 1_000_000_000  # less the books' time
-ENDED = 20_000  # ms: when the run was over
+UNIX_OFFSET_US = 1_000_000_000  # Unix time minus the time of the books
+RUN_END_MS = 20_000
 
 
-def logged(at_ms: int, kind: str, message: str, who: str = "s0", **more: Any) -> dict[str, Any]:
+def log_event(at_ms: int, kind: str, message: str, who: str = "s0", **more: Any) -> dict[str, Any]:
     named = {"message": message} if message else {}
-    found = {"id": f"{who}/x/{at_ms}", "at": UNIX + 1000 * at_ms, "origin": who, "kind": kind}
+    found = {"id": f"{who}/x/{at_ms}", "at": UNIX_OFFSET_US + 1000 * at_ms, "origin": who, "kind": kind}
     return found | named | more
 
 
 def page(
-    events: list[dict[str, Any]], as_of_ms: int = ENDED, by: str = "k1", why: str = "end", **more: Any
+    events: list[dict[str, Any]], as_of_ms: int = RUN_END_MS, by: str = "k1", why: str = "end", **more: Any
 ) -> Page:
-    as_of = UNIX + 1000 * as_of_ms
+    as_of = UNIX_OFFSET_US + 1000 * as_of_ms
     up_to = [event for event in events if event["at"] <= as_of]
     given: dict[str, Any] = {"settled_until": as_of, "complete": True, "status": 200, "events": up_to} | more
     given |= {"at": 1000 * as_of_ms, "who": by, "answered_by": by, "channel": "1", "as_of": as_of}
     return Page(**given, limit=99, why=why, series=sum(by.encode()))
 
 
-def test_a_read_counts_once_for_a_reason_and_never_seen_is_an_answer() -> None:
+def test_a_read_counts_once_per_missing_category_and_never_seen_counts_as_answered() -> None:
     missing = [{"what": f"what {who}", "why": "no answer yet"} for who in ("others wrote", "k1 keeps")]
     pages = [
         page([], why="run", complete=False, missing=missing),
@@ -418,29 +445,34 @@
     assert (log["incomplete"], log["never_seen"], log["nobody"]) == (1, 1, 0)
 
 
-def happened(message: str, at_ms: int) -> list[Entry]:
+def delivered_entries(message: str, at_ms: int) -> list[Entry]:
     taken = e(at_ms, "taken", "s0", message, value=10**9, note="once")
-    return [msgspec.structs.replace(taken, dest=1), *called(at_ms + 10, message)]
+    return [msgspec.structs.replace(taken, dest=1), *call_entries(at_ms + 10, message)]
 
 
-def noted(message: str, at_ms: int, leg: int = 1) -> list[dict[str, Any]]:
-    begun = logged(at_ms + 5, "begun", message, leg=leg, endpoint="p-0")
-    return [logged(at_ms, "taken", message), begun, logged(at_ms + 10, "delivered", message)]
+def delivered_events(message: str, at_ms: int, leg: int = 1) -> list[dict[str, Any]]:
+    begun = log_event(at_ms + 5, "begun", message, leg=leg, endpoint="p-0")
+    return [log_event(at_ms, "taken", message), begun, log_event(at_ms + 10, "delivered", message)]
 
 
-BOOK = [e(0, "clock", value=UNIX), e(0, "up", "s0"), *happened("a", 1000), *happened("b", 2000)]
-BOOK += [e(ENDED, "end", value=UNIX + 1000 * ENDED)]
-LOG = noted("a", 1000) + noted("b", 2000)
+BOOK = [
+    e(0, "clock", value=UNIX_OFFSET_US),
+    e(0, "up", "s0"),
+    *delivered_entries("a", 1000),
+    *delivered_entries("b", 2000),
+]
+BOOK += [e(RUN_END_MS, "end", value=UNIX_OFFSET_US + 1000 * RUN_END_MS)]
+LOG = delivered_events("a", 1000) + delivered_events("b", 2000)
 KEPT_BY = [page(LOG), page(LOG, by="k2")]
 OTHER = [dict(LOG[0], id="s0/x/0"), *LOG[1:]]
-DETACHED = [e(3000, "detach", "s1", place="p-0"), *happened("c", 14_000)]
-SPAN: dict[str, Any] = {"from": UNIX + 2_000_000, "to": UNIX + 2_200_000}
-LOST = logged(4000, "lost", "", count=1, **SPAN)
-HUNG, SILENT = e(4000, "down", "k1", note="hang"), page([], 5000, why="run", status=0)
+DETACHED = [e(3000, "detach", "s1", place="p-0"), *delivered_entries("c", 14_000)]
+SPAN: dict[str, Any] = {"from": UNIX_OFFSET_US + 2_000_000, "to": UNIX_OFFSET_US + 2_200_000}
+LOST = log_event(4000, "lost", "", count=1, **SPAN)
+HANG_ENTRY, SILENT = e(4000, "down", "k1", note="hang"), page([], 5000, why="run", status=0)
 LINK = [e(2000, "fault", "s0", note="link"), e(8000, "over", "s0", note="link")]
 LATE = [{"what": "events from 1", "why": "not heard"}]
 ATTACHED = [e(5000, "attach", "s1", place="p-0")]
-UNSETTLED = page(LOG, settled_until=UNIX + 9_000_000)
+UNSETTLED = page(LOG, settled_until=UNIX_OFFSET_US + 9_000_000)
 
 
 @pytest.mark.parametrize(
@@ -452,24 +484,25 @@
         ("event", [], [page(LOG[:-1])], ([e(3000, "down", "s0", note="kill")], [])),
         ("event", [], [page(LOG[:-1])], ([], [page([*LOG[:-1], LOST])])),
         ("event", [], [page(LOG[:-2])], None),
-        ("event", [], [page([*LOG[:-2], LOST])], None),  # it tells of one, and two are gone
-        ("event", [], [page(LOG + noted("b", 3000))], ([e(2500, "up", "s0")], [])),
-        ("event", [], [page([*LOG, logged(3000, "delivered", "z")])], None),
+        ("event", [], [page([*LOG[:-2], LOST])], None),  # it accounts for one, but two are missing
+        ("event", [], [page(LOG + delivered_events("b", 3000))], ([e(2500, "up", "s0")], [])),
+        ("event", [], [page([*LOG, log_event(3000, "delivered", "z")])], None),
         ("whole", [], [*KEPT_BY, page(LOG[1:], 5000, why="run")], None),
         ("whole", [], [*KEPT_BY, page(LOG[1:], 5000, why="run", complete=False, missing=LATE)], None),
         ("whole", [], [*KEPT_BY, page(LOG, 5000, why="run", complete=False)], None),
         ("whole", [], [*KEPT_BY, page(LOG, 5000, why="run", missing=[{"what": "x", "why": ""}])], None),
         ("whole", [], [*KEPT_BY, page([], 5000, why="run", status=404, text="never seen")], None),
-        ("whole", [], [*KEPT_BY, SILENT], ([HUNG], [])),
-        ("whole", happened("c", 2500), [page(LOG + noted("c", 6000)), page(LOG, 5000, why="run")], None),
-        ("detach", DETACHED, [page(LOG + noted("c", 14_000))], (ATTACHED, [])),
-        ("detach", DETACHED, [page(LOG + noted("c", 14_000))], (LINK, [])),
+        ("whole", [], [*KEPT_BY, SILENT], ([HANG_ENTRY], [])),
+        ("whole", delivered_entries("c", 2500),
+         [page(LOG + delivered_events("c", 6000)), page(LOG, 5000, why="run")], None),
+        ("detach", DETACHED, [page(LOG + delivered_events("c", 14_000))], (ATTACHED, [])),
+        ("detach", DETACHED, [page(LOG + delivered_events("c", 14_000))], (LINK, [])),
     ],
 )  # fmt: skip
-def test_the_log_s_rules_catch_what_is_missing_doubled_or_out_of_order(
+def test_log_rules_report_missing_duplicate_and_misordered_events(
     rule: str, book: list[Entry], pages: list[Page], excused: tuple[list[Entry], list[Page]] | None
 ) -> None:
-    """A kill excuses what was noted 1.5 s before it, a `lost` event as many as it tells."""
+    """A kill excuses events logged up to 1.5 s before it; a `lost` event excuses as many as its count."""
 
     def broken(entries: list[Entry], pages: list[Page]) -> set[str]:
         ordered = sorted(BOOK + entries, key=lambda entry: entry.at)
@@ -485,7 +518,7 @@
         assert broken(book + far, pages) == ({rule} if far[0].what == "down" else set())
 
 
-def test_the_log_scenario_keeps_the_rules_and_shows_its_figures(tmp_path: Path) -> None:
+def test_the_log_scenario_keeps_the_rules_and_reports_its_statistics(tmp_path: Path) -> None:
     scenario = read(SCENARIOS / "log.toml")
     result = asyncio.run(play_with_time_limit(scenario, make_plan(scenario, 1), tmp_path, 1))
     assert result["rules"] == "kept", result["breaches"]
@@ -503,12 +536,12 @@
         for far, address in doc["channels"]["sites"].items()
         if address == files[far]["channels"]["listen"]
     }
-    well = files.keys() - {"s4"}  # which is cut off
+    well = files.keys() - {"s4"}  # which is cut off by a fault
     assert len(well) == 7 and direct == {(a, b) for a in well for b in well if a != b}
     assert result["series"]["lag"] and any(mark[1] == "layout" for mark in result["series"]["marks"])
 
 
-def test_peers_without_a_platform_are_a_mistake(tmp_path: Path) -> None:
+def test_peers_without_a_platform_are_a_configuration_error(tmp_path: Path) -> None:
     text = (Path(__file__).parents[1] / "deploy" / "operator.example.toml").read_text()
     path = tmp_path / "site.toml"
     path.write_text(text + '\n[peers]\nlisten = "127.0.0.1:1"\npeers = []\nall_at = "127.0.0.1:2"\n')
@@ -516,7 +549,7 @@
         operator_config(path)
 
 
-HURT = (
+FAULTY_SCENARIO = (
     "seconds = 5.0\nsenders = 8\nrate = 30.0\n"
     '[[grade]]\nname = "safe"\neffect = "retryable"\ndeadline_ms = 4000\n'
     '[[grade]]\nname = "once"\neffect = "fragile"\ndeadline_ms = 4000\n'
@@ -528,10 +561,10 @@
 )
 
 
-def test_eight_senders_keep_the_rules_while_one_dies_one_hangs_a_link_breaks_and_a_disk_is_full(
+def test_eight_senders_keep_the_rules_during_a_kill_a_hang_a_cut_link_and_a_full_disk(
     tmp_path: Path,
 ) -> None:
-    scenario = parse(HURT)
+    scenario = parse(FAULTY_SCENARIO)
     result = asyncio.run(play_with_time_limit(scenario, make_plan(scenario, 3), tmp_path, 3))
     assert result["rules"] == "kept", result["breaches"]
     entries = books(tmp_path / "fleet" / "books")
@@ -539,26 +572,26 @@
     assert {("down", "s1", "kill"), ("up", "s1", ""), ("down", "s2", "hang"), ("up", "s2", "hang")} <= seen
     assert {(what, *one) for what in ("fault", "over") for one in (("s3", "link"), ("s4", "disk"))} <= seen
     hurt = {e.who for e in entries if e.what in ("unsure", "busy", "refused")}
-    assert {"s1", "s2"} <= hurt  # s4 lives on the room that its journal has kept
+    assert {"s1", "s2"} <= hurt  # s4 keeps working in the space that its journal has preallocated
     assert result["ran"] > 0.8 * result["handed_in"]
 
 
-def test_sigterm_ends_all_that_was_started(tmp_path: Path) -> None:
+def test_sigterm_ends_all_started_processes(tmp_path: Path) -> None:
     path, keep = tmp_path / "own.toml", tmp_path / "kept"
-    path.write_text(HURT)
+    path.write_text(FAULTY_SCENARIO)
     command = [sys.executable, "-m", "rowanrack.lab", str(path), "--keep", str(keep)]
     lab = subprocess.Popen(command, stderr=subprocess.PIPE)
     while lab.poll() is None and len(list(keep.glob("fleet/s*/log"))) < 4:
         time.sleep(0.02)
-    assert started_for(keep)
+    assert processes_below(keep)
     lab.send_signal(signal.SIGTERM)
-    _, said = lab.communicate(timeout=20)
-    assert lab.returncode == EXIT_NOT_COMPLETED and b"ended by a signal" in said
-    assert not started_for(keep)
+    _, stderr = lab.communicate(timeout=20)
+    assert lab.returncode == EXIT_NOT_COMPLETED and b"ended by a signal" in stderr
+    assert not processes_below(keep)
 
 
-def started_for(folder: Path) -> list[str]:
-    """The processes whose command line names the folder, but for the lab itself."""
+def processes_below(folder: Path) -> list[str]:
+    """Return the processes whose command line names a path below the folder, without the lab itself."""
     found = []
     for process in Path("/proc").glob("[0-9]*"):
         with suppress(OSError):
