--- a/rowanrack/lab/stand_in.py
+++ b/rowanrack/lab/stand_in.py
@@ -43,7 +43,7 @@
         self._reserved_socket: socket.socket | None = None  # keeps the port while the server is closed
 
     async def answer(self, request: Request, peer: str) -> Reply | None:
-        """What a request gets."""
+        """Return the reply to a request."""
         raise NotImplementedError
 
     def connection_broken(self) -> None:
