--- a/tests/test_channels_fleet.py
+++ b/tests/test_channels_fleet.py
@@ -13,12 +13,12 @@
 
 from rowanrack.channels.events import Event
 from rowanrack.channels.layout import Layouts
-from rowanrack.lab.fleet import Figures, Fleet, Partner, Sender
+from rowanrack.lab.fleet import Fleet, Partner, PartnerParameters, Sender
 from rowanrack.store.log_sqlite import SqliteLog
 from tests.rig import on_loop
 
 COUNT = 8
-SHOP = Partner("shop", Figures(dest=1, rate=80.0), endpoints=2)
+SHOP = Partner("shop", PartnerParameters(dest=1, rate=80.0), endpoints=2)
 NAMES = [f"s{n}" for n in range(COUNT)]
 KEEPERS = Layouts(NAMES).at(0).keepers(Layouts(NAMES).at(0).shard("1"))
 OTHERS = [name for name in NAMES if name not in KEEPERS]
@@ -37,7 +37,7 @@
 
 
 def start_fleet(folder: Path) -> Fleet:
-    return Fleet(folder / "fleet", COUNT, [SHOP], mesh=("log",), extra=channels_section)
+    return Fleet(folder / "fleet", COUNT, [SHOP], mesh=("log",), extra_config=channels_section)
 
 
 async def read_past(sender: Sender, channel: str, at: int, **parameters: int) -> tuple[int, dict[str, Any]]:
@@ -90,7 +90,7 @@
 
 def stored_events(fleet: Fleet, name: str, channel: str, until: int = 1 << 62) -> list[Event]:
     """Return the stored events of a channel up to a time, in order, of a sender that has stopped."""
-    store = SqliteLog(fleet.senders[name].state / "channels.db", 4_000_000)
+    store = SqliteLog(fleet.senders[name].state_folder / "channels.db", 4_000_000)
     store.open()
     try:
         return store.ordered(channel, None, until, 1 << 30)
@@ -212,7 +212,7 @@
     async with start_fleet(tmp_path) as fleet:
         sender = fleet.senders[OTHERS[0]]
         ids = await submit_messages(fleet, [sender.name], "before", 10)
-        sender.disk_full()
+        sender.fill_disk()
         accepted = set[str]()
         for n in range(400):
             message = f"full-{n}"
@@ -220,13 +220,13 @@
                 accepted.add(message)
             else:
                 break
-        await sender.logged(LOG_LINES[0])
+        await sender.wait_for_log_line(LOG_LINES[0])
         ended = ids | accepted
-        await fleet.until(lambda book: {e.message for e in book if e.what == "answer"} >= ended)
-        sender.disk_room()
-        await sender.logged(LOG_LINES[1])
+        await fleet.wait_for_entries(lambda book: {e.message for e in book if e.what == "answer"} >= ended)
+        sender.free_disk()
+        await sender.wait_for_log_line(LOG_LINES[1])
         ended |= ids | await submit_messages(fleet, [sender.name], "after", 3)
-        await fleet.until(lambda book: {e.message for e in book if e.what == "answer"} >= ended)
+        await fleet.wait_for_entries(lambda book: {e.message for e in book if e.what == "answer"} >= ended)
         while b"svc_outstanding 0" not in (await sender.mgmt("GET", "/_vars"))[1]:
             pass  # the last answers are still in transit
         found = await read_until(sender, "1", lambda f: f["complete"])
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -24,7 +24,7 @@
 
 from rowanrack.lab.books import Entry, now_us
 from rowanrack.lab.checker import Checker
-from rowanrack.lab.fleet import Figures, Fleet, Partner, settings
+from rowanrack.lab.fleet import Fleet, Partner, PartnerParameters, settings
 from rowanrack.lab.scenario import Grade
 from rowanrack.store.outages import OutageFile
 from rowanspindle import Outage
@@ -36,7 +36,7 @@
 FIRST_CALLS_US = SECOND_US // 2  # time in which a started sender has called for the messages it owes
 # Longer than forty processes need to start on a busy machine, so known outages are still valid.
 RAMP_US = 30 * SECOND_US
-SHOP = Figures(
+SHOP = PartnerParameters(
     dest=1, rate=1.0, cold_share=0.4, overload=5.0, fall_ms=FALL_US // 1000, ramp_ms=RAMP_US // 1000
 )
 ALBUM_UPDATE = Grade(name="album-update", effect="retryable", deadline_ms=60_000)
@@ -69,14 +69,14 @@
     the senders were killed.
     """
     shop = Partner("shop", SHOP, endpoints=1)
-    async with Fleet(folder, SENDERS, [shop], told=fleet_settings(), wave=8) as fleet:
+    async with Fleet(folder, SENDERS, [shop], settings_toml=fleet_settings(), wave=8) as fleet:
         await fleet.endpoint("shop-0", "failing")
         for name in fleet.senders:
             assert (await fleet.submit(name, f"message-{name}", ALBUM_UPDATE.name, 1, 60_000)).startswith("+")
         for sender in fleet.senders.values():
-            await sender.logged("shop-0: outage")
+            await sender.wait_for_log_line("shop-0: outage")
         stored_us = now_us() + SECOND_US // 2
-        await fleet.until(lambda entries: now_us() > stored_us)
+        await fleet.wait_for_entries(lambda entries: now_us() > stored_us)
         for sender in fleet.senders.values():
             await sender.kill()
         killed_us = now_us()
@@ -88,10 +88,12 @@
 async def test_senders_restarted_in_an_outage_do_not_overload_the_returning_endpoint(tmp_path: Path) -> None:
     async with fleet_restarted_in_an_outage(tmp_path / "fleet") as (fleet, _):
         started_us = now_us() + FIRST_CALLS_US
-        await fleet.until(lambda entries: bool(calling_senders(entries, started_us)))  # a trial call
+        await fleet.wait_for_entries(
+            lambda entries: bool(calling_senders(entries, started_us))
+        )  # a trial call
         await fleet.endpoint("shop-0", "up")
         returned_us = now_us()
-        entries = await fleet.until(lambda entries: now_us() > returned_us + FALL_US)
+        entries = await fleet.wait_for_entries(lambda entries: now_us() > returned_us + FALL_US)
     breaches = Checker(entries, frozenset(), FALL_US).check()
     assert [b.text for b in breaches if b.rule == "cold"] == []
 
@@ -104,8 +106,8 @@
     """
     async with fleet_restarted_in_an_outage(tmp_path / "fleet") as (fleet, killed_us):
         started_us = now_us()
-        entries = await fleet.until(lambda entries: now_us() > started_us + FALL_US)
-    capacity = SHOP.bears(1)
+        entries = await fleet.wait_for_entries(lambda entries: now_us() > started_us + FALL_US)
+    capacity = SHOP.cold_call_limit(1)
     assert max_calls_in_fall_time(entries, killed_us) <= capacity + 3 * math.sqrt(capacity) + 3
 
 
