--- a/tests/contracts/test_sources.py
+++ b/tests/contracts/test_sources.py
@@ -305,7 +305,7 @@
         )
 
     async def _reload_file(self) -> None:
-        cast(Any, self).load_again(lambda: operator_config(self.path))
+        cast(Any, self).reload_from(lambda: operator_config(self.path))
         await self.advance(0.01)
 
     async def provide_list(self, *entries: ListedEndpoint) -> None:
